--- a/src/main/java/cacheproxy/bench/DaemonKillBench.java
+++ b/src/main/java/cacheproxy/bench/DaemonKillBench.java
@@ -43,8 +43,8 @@
         Path log = directory.resolve("log");
         Path snapshot = directory.resolve("memory");
         try (FakeFleet fleet = new FakeFleet(SERVERS)) {
-            fleet.nodes.get(1).mute(true);
-            fleet.nodes.get(2).delay(SLOW_SERVER_MS);
+            fleet.nodes.get(1).muted(true);
+            fleet.nodes.get(2).setDelayMs(SLOW_SERVER_MS);
             SnapshotWorkload.storeValues(fleet.nodes);
             long generation = 0;
             while (lanes.takeKill()) {
--- a/src/main/java/cacheproxy/bench/HookReloadBench.java
+++ b/src/main/java/cacheproxy/bench/HookReloadBench.java
@@ -102,7 +102,7 @@
         private void run() {
             while (!over) {
                 try {
-                    LoadClient.Account account = new LoadClient(loop, address, BATCH, BackgroundLoad::request)
+                    LoadClient.LoadResult account = new LoadClient(loop, address, BATCH, BackgroundLoad::request)
                             .start(CONNECTIONS, IN_FLIGHT_PER_CONNECTION)
                             .get(TIMEOUT_S, TimeUnit.SECONDS);
                     answered += account.answered();
@@ -113,8 +113,8 @@
             }
         }
 
-        private static LoadClient.Ask request(int number) {
-            return new LoadClient.Ask("A:" + number + "/vi", "", null, null);
+        private static LoadClient.LoadRequest request(int number) {
+            return new LoadClient.LoadRequest("A:" + number + "/vi", "", null, null);
         }
     }
 }
--- a/src/main/java/cacheproxy/bench/RestartBench.java
+++ b/src/main/java/cacheproxy/bench/RestartBench.java
@@ -62,7 +62,7 @@
         try (EventLoopThread clients = new EventLoopThread();
                 FakeFleet fleet = new FakeFleet(SnapshotWorkload.SERVERS)) {
             SnapshotWorkload.storeValues(fleet.nodes);
-            fleet.origin.work(ORIGIN_SERVICE_MS);
+            fleet.origin.setServiceTimeMs(ORIGIN_SERVICE_MS);
             for (int i = 0; i < rounds; i++) {
                 int round = i;
                 List<FakeCacheServer> bad = makeBadServers(fleet, round);
@@ -85,8 +85,8 @@
             boolean mute = role < MUTE_SERVERS;
             boolean slow = !mute && role < MUTE_SERVERS + SLOW_SERVERS;
             FakeCacheServer server = fleet.nodes.get(i);
-            server.mute(mute);
-            server.delay(slow ? SLOW_SERVER_MS : 0);
+            server.muted(mute);
+            server.setDelayMs(slow ? SLOW_SERVER_MS : 0);
             if (mute || slow) {
                 bad.add(server);
             }
--- a/src/main/java/cacheproxy/bench/SiblingBench.java
+++ b/src/main/java/cacheproxy/bench/SiblingBench.java
@@ -145,11 +145,12 @@
             try (FakeFleet fleet = new FakeFleet(SERVERS);
                     LossyDatagramLink link =
                             new LossyDatagramLink(fleet.loop(), own.icp, other.icp, round, variant.loss, 0, 0);
-                    Daemon sibling = config(siblingFleet, other, own.withIcp(link.towardsA()), false)
+                    Daemon sibling = config(siblingFleet, other, own.withIcp(link.aliasAddressOfA()), false)
                             .start(round);
-                    Daemon daemon = config(fleet, own, other.withIcp(link.towardsB()), variant != Variant.NO_SIBLING)
+                    Daemon daemon = config(
+                                    fleet, own, other.withIcp(link.aliasAddressOfB()), variant != Variant.NO_SIBLING)
                             .start(round)) {
-                fleet.origin.work(originMs);
+                fleet.origin.setServiceTimeMs(originMs);
                 readSiblingKeys(sibling, loop);
                 OpenLoopLoad load = new OpenLoopLoad(loop, BenchConfig.AIM_MS, SiblingBench::key)
                         .connect(daemon.address("main"), CONNECTIONS)
@@ -169,8 +170,8 @@
                     .get(LEARNING_TIMEOUT_S, TimeUnit.SECONDS);
         }
 
-        private static LoadClient.Ask siblingRequest(int number) {
-            return new LoadClient.Ask(key(2 * number), "", null, null);
+        private static LoadClient.LoadRequest siblingRequest(int number) {
+            return new LoadClient.LoadRequest(key(2 * number), "", null, null);
         }
 
         private void print() {
--- a/src/main/java/cacheproxy/bench/SnapshotWriteBench.java
+++ b/src/main/java/cacheproxy/bench/SnapshotWriteBench.java
@@ -100,7 +100,7 @@
         AtomicBoolean over = new AtomicBoolean();
         try (Daemon daemon =
                 SnapshotWorkload.config(fleet, snapshot, USUAL_PERIOD_MS).start(1)) {
-            fleet.nodes.get(0).mute(true);
+            fleet.nodes.get(0).muted(true);
             new LoadClient(
                             loop,
                             daemon.address("main"),
@@ -118,7 +118,7 @@
         }
     }
 
-    private static LoadClient.Ask request(String key) {
-        return new LoadClient.Ask(key, "", null, null);
+    private static LoadClient.LoadRequest request(String key) {
+        return new LoadClient.LoadRequest(key, "", null, null);
     }
 }
--- a/src/main/java/cacheproxy/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -48,11 +48,11 @@
             spec.commandLine().getErr().println("--requests takes 1 to " + MAX_REQUESTS);
             return ExitCode.UNUSABLE;
         }
-        try (FakeFleet fleet = new FakeFleet(Demo.NODES)) {
-            fleet.nodes.forEach(server -> server.work(NODE_SERVICE_MS));
-            fleet.origin.work(ORIGIN_SERVICE_MS);
-            Demo.warm(fleet);
-            try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("demo", Demo.file(fleet)), seed)) {
+        try (FakeFleet fleet = new FakeFleet(Demo.NODE_COUNT)) {
+            fleet.nodes.forEach(server -> server.setServiceTimeMs(NODE_SERVICE_MS));
+            fleet.origin.setServiceTimeMs(ORIGIN_SERVICE_MS);
+            Demo.fillCaches(fleet);
+            try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("demo", Demo.configText(fleet)), seed)) {
                 InetSocketAddress address = daemon.address("main");
                 printIntroduction(address);
                 if (requests == 0) {
@@ -65,7 +65,7 @@
 
     private void printIntroduction(InetSocketAddress address) {
         PrintWriter out = spec.commandLine().getOut();
-        out.println("coralbay listens on 127.0.0.1:" + address.getPort() + " in front of " + Demo.NODES
+        out.println("coralbay listens on 127.0.0.1:" + address.getPort() + " in front of " + Demo.NODE_COUNT
                 + " fake cache servers, an origin and discovery");
         out.println("try:  printf 'mg page/1 v\\r\\n' | nc -q 1 127.0.0.1 " + address.getPort());
         out.flush();
@@ -73,17 +73,17 @@
 
     private int runLoad(FakeFleet fleet, InetSocketAddress address) throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        List<LoadClient.Ask> plan = Demo.asks(requests, seed);
+        List<LoadClient.LoadRequest> plan = Demo.requests(requests, seed);
         DemoFaultSchedule faults = new DemoFaultSchedule(fleet, requests, seed, out);
-        LoadClient.Account account = new LoadClient(fleet.loop(), address, requests, plan::get)
+        LoadClient.LoadResult account = new LoadClient(fleet.loop(), address, requests, plan::get)
                 .onProgress(faults::onProgress)
                 .start(CONNECTIONS, REQUESTS_PER_CONNECTION)
                 .get();
-        account.faults.forEach(out::println);
+        account.errors.forEach(out::println);
         out.println("sent " + account.sent + " served " + account.served + " refused " + account.refused + " failed "
-                + (account.failed + account.missing) + " lost " + account.lost + " repeated "
-                + fleet.ledger.repeated());
+                + (account.failed + account.missed) + " lost " + account.lost + " repeated "
+                + fleet.ledger.repeatedEffects());
         out.flush();
-        return account.lost == 0 && fleet.ledger.repeated() == 0 ? ExitCode.OK : ExitCode.FAILED;
+        return account.lost == 0 && fleet.ledger.repeatedEffects() == 0 ? ExitCode.OK : ExitCode.FAILED;
     }
 }
--- a/src/main/java/cacheproxy/cli/DemoFaultSchedule.java
+++ b/src/main/java/cacheproxy/cli/DemoFaultSchedule.java
@@ -39,8 +39,8 @@
 
     /** Starts the fault of the current step, without waiting for it, and describes it. */
     private String injectFault() {
-        int first = random.nextInt(Demo.NODES);
-        int second = (first + 1 + random.nextInt(Demo.NODES - 1)) % Demo.NODES;
+        int first = random.nextInt(Demo.NODE_COUNT);
+        int second = (first + 1 + random.nextInt(Demo.NODE_COUNT - 1)) % Demo.NODE_COUNT;
         if (stepsDone == RESTART_STEP) {
             new Thread(() -> restart(first)).start(); // a restart waits for this event loop, so it must not run on it
             return "node " + first + " restarts cold";
--- a/src/main/java/cacheproxy/cli/NginxComparison.java
+++ b/src/main/java/cacheproxy/cli/NginxComparison.java
@@ -104,7 +104,7 @@
         int slash = key.indexOf('/');
         String host = hostInKeys && slash > 0 ? key.substring(0, slash) : "";
         String path = slash > 0 ? key.substring(slash) : key;
-        NginxReferenceModel.Answer answer = model.ask(model.firstSocket(), "GET", host, path);
+        NginxReferenceModel.Answer answer = model.respond(model.firstSocket(), "GET", host, path);
         if (answer.status() != 0) {
             return Target.NONE;
         }
--- a/src/main/java/cacheproxy/fakes/Demo.java
+++ b/src/main/java/cacheproxy/fakes/Demo.java
@@ -1,6 +1,6 @@
 package cacheproxy.fakes;
 
-import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.LoadClient.LoadRequest;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -8,16 +8,16 @@
 
 /** The demo's file and its requests. */
 public final class Demo {
-    public static final int NODES = 8;
+    public static final int NODE_COUNT = 8;
     /** A stalled node stands still for so long, in milliseconds. */
     public static final double STALL_MS = 150;
 
-    private static final int KEYS = 2000;
+    private static final int KEY_COUNT = 2000;
 
     private Demo() {}
 
     /** A daemon's file for this fleet, on an ephemeral port; every kind of request of the README is in it. */
-    public static String file(FakeFleet fleet) {
+    public static String configText(FakeFleet fleet) {
         return String.join(
                 "\n",
                 "[site]",
@@ -67,33 +67,33 @@
     }
 
     /** As after some hours: the nodes hold nineteen in twenty of the pages, whichever of them is asked. */
-    public static void warm(FakeFleet fleet) {
-        for (int i = 0; i < KEYS; i++) {
+    public static void fillCaches(FakeFleet fleet) {
+        for (int i = 0; i < KEY_COUNT; i++) {
             if (i % 20 != 19) {
                 String key = "page/" + i;
                 byte[] value = FakeOrigin.value(key).getBytes(StandardCharsets.ISO_8859_1);
-                fleet.nodes.forEach(n -> n.store(key, value));
+                fleet.nodes.forEach(node -> node.store(key, value));
             }
         }
     }
 
     /** Requests of all classes: 95 in 100 reads, some of a hot key; the rest writes, each with a mark of its own. */
-    public static List<Ask> asks(int n, long seed) {
+    public static List<LoadRequest> requests(int count, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Ask> asks = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
-            int kind = random.nextInt(100);
+        List<LoadRequest> requests = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            int percentile = random.nextInt(100);
             // Squared, so that some keys are far more popular than others; one in ten is the hottest.
-            double u = random.nextDouble();
-            String key = "page/" + (random.nextInt(10) == 0 ? 0 : (int) (u * u * KEYS));
-            if (kind < 95) {
-                asks.add(new Ask(key, "c=page", null, FakeOrigin.value(key)));
-            } else if (kind < 98) {
-                asks.add(new Ask("submit/" + i, "c=submit", "submit-" + i, null));
+            double uniform = random.nextDouble();
+            String key = "page/" + (random.nextInt(10) == 0 ? 0 : (int) (uniform * uniform * KEY_COUNT));
+            if (percentile < 95) {
+                requests.add(new LoadRequest(key, "c=page", null, FakeOrigin.value(key)));
+            } else if (percentile < 98) {
+                requests.add(new LoadRequest("submit/" + i, "c=submit", "submit-" + i, null));
             } else {
-                asks.add(new Ask("publish/" + i, "c=publish,k=publish-" + i, "publish-" + i, null));
+                requests.add(new LoadRequest("publish/" + i, "c=publish,k=publish-" + i, "publish-" + i, null));
             }
         }
-        return asks;
+        return requests;
     }
 }
--- a/src/main/java/cacheproxy/fakes/EffectLedger.java
+++ b/src/main/java/cacheproxy/fakes/EffectLedger.java
@@ -9,28 +9,28 @@
  * own mark in the value where it has none. Thread-safe.
  */
 public final class EffectLedger {
-    private final Map<String, Integer> effects = new HashMap<>();
-    private Consumer<String> observer = mark -> {};
+    private final Map<String, Integer> effectCounts = new HashMap<>();
+    private Consumer<String> observer = writeId -> {};
     private long reads;
-    private int dropped;
+    private int recordDroppedRepeat;
 
     /** Told of each effect with its mark, on the thread of the stand-in. */
-    public synchronized void observe(Consumer<String> by) {
-        observer = by;
+    public synchronized void setObserver(Consumer<String> newObserver) {
+        observer = newObserver;
     }
 
     /** A write took effect. */
-    public synchronized void effect(String mark) {
-        effects.merge(mark, 1, Integer::sum);
-        observer.accept(mark);
+    public synchronized void recordEffect(String writeId) {
+        effectCounts.merge(writeId, 1, Integer::sum);
+        observer.accept(writeId);
     }
 
     /** A repeat was recognised and dropped. */
-    public synchronized void dropped() {
-        dropped++;
+    public synchronized void recordDroppedRepeat() {
+        recordDroppedRepeat++;
     }
 
-    public synchronized void read() {
+    public synchronized void recordRead() {
         reads++;
     }
 
@@ -39,21 +39,21 @@
     }
 
     public synchronized int droppedRepeats() {
-        return dropped;
+        return recordDroppedRepeat;
     }
 
     /** How many times a write took effect. */
-    public synchronized int times(String mark) {
-        return effects.getOrDefault(mark, 0);
+    public synchronized int effectCount(String writeId) {
+        return effectCounts.getOrDefault(writeId, 0);
     }
 
     /** Writes that took effect at least once. */
     public synchronized int writes() {
-        return effects.size();
+        return effectCounts.size();
     }
 
     /** Effects beyond the first of each write. */
-    public synchronized int repeated() {
-        return effects.values().stream().mapToInt(n -> n - 1).sum();
+    public synchronized int repeatedEffects() {
+        return effectCounts.values().stream().mapToInt(count -> count - 1).sum();
     }
 }
--- a/src/main/java/cacheproxy/fakes/FakeCacheServer.java
+++ b/src/main/java/cacheproxy/fakes/FakeCacheServer.java
@@ -30,9 +30,9 @@
  */
 public final class FakeCacheServer implements AutoCloseable {
     /** Values that it keeps; those longest not read go first. */
-    private static final int MOST_VALUES = 100_000;
+    private static final int MAX_VALUES = 100_000;
 
-    private static final int MOST_REPEATS = 100_000;
+    private static final int MAX_IDEMPOTENCY_KEYS = 100_000;
 
     private final EventLoop loop;
     private final EffectLedger ledger;
@@ -41,37 +41,37 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, byte[]> eldest) {
-            return size() > MOST_VALUES;
+            return size() > MAX_VALUES;
         }
     };
-    private final Set<String> keys = new HashSet<>();
+    private final Set<String> idempotencyKeys = new HashSet<>();
     private final ChannelGroup connections;
     private final AtomicInteger commands = new AtomicInteger();
-    private final AtomicInteger tested = new AtomicInteger();
+    private final AtomicInteger probes = new AtomicInteger();
     private Channel server;
     private int port;
-    private Missed missed;
-    private SlowStartMonitor watch;
-    private double workMs;
+    private MissListener missListener;
+    private SlowStartMonitor slowStartMonitor;
+    private double serviceTimeMs;
     private double delayMs;
     private double busyUntilMs;
     private double stalledUntilMs;
     /** Commands that came while it stood still. */
-    private final ArrayDeque<Runnable> held = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> stalledCommands = new ArrayDeque<>();
 
-    private boolean mute;
-    private int busy;
-    private int room = Integer.MAX_VALUE;
+    private boolean muted;
+    private int rejectNext;
+    private int queueCapacity = Integer.MAX_VALUE;
     private Observer observer;
 
     /** Told of reads that this node could not answer. */
-    interface Missed {
-        void missed(String id, String key, FakeCacheServer node);
+    interface MissListener {
+        void onMiss(String id, String key, FakeCacheServer node);
     }
 
     /** Told of each command that comes, with the request's id; null where it has none. */
     public interface Observer {
-        void arrived(String id);
+        void onCommand(String id);
     }
 
     private FakeCacheServer(EventLoop loop, EffectLedger ledger) {
@@ -98,7 +98,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         connections.add(channel);
-                        channel.pipeline().addLast(new Conversation());
+                        channel.pipeline().addLast(new ConnectionHandler());
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
@@ -121,17 +121,17 @@
     }
 
     /** Tests that have come since the start: empty commands. */
-    public int tested() {
-        return tested.get();
+    public int probes() {
+        return probes.get();
     }
 
-    void onMiss(Missed listener) {
-        missed = listener;
+    void setMissListener(MissListener listener) {
+        missListener = listener;
     }
 
     // ---- what befalls it; each returns once it is so
 
-    private void run(Runnable task) {
+    private void runOnLoop(Runnable task) {
         if (loop.inEventLoop()) {
             task.run();
         } else {
@@ -140,74 +140,76 @@
     }
 
     /** Each request takes so long, one after another. */
-    public FakeCacheServer work(double ms) {
-        run(() -> workMs = ms);
+    public FakeCacheServer setServiceTimeMs(double ms) {
+        runOnLoop(() -> serviceTimeMs = ms);
         return this;
     }
 
     /** So many commands may wait at once; those beyond are answered that it is busy. */
-    public FakeCacheServer room(int commands) {
-        run(() -> room = commands);
+    public FakeCacheServer queueCapacity(int commands) {
+        runOnLoop(() -> queueCapacity = commands);
         return this;
     }
 
-    public FakeCacheServer observe(Observer by) {
-        run(() -> observer = by);
+    public FakeCacheServer setObserver(Observer newObserver) {
+        runOnLoop(() -> observer = newObserver);
         return this;
     }
 
     /** Each answer comes so much later; others need not wait for it. */
-    public FakeCacheServer delay(double ms) {
-        run(() -> delayMs = ms);
+    public FakeCacheServer setDelayMs(double ms) {
+        runOnLoop(() -> delayMs = ms);
         return this;
     }
 
     /** It answers nothing for so long, and then all that came. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     public void stall(double ms) {
-        run(() -> {
+        runOnLoop(() -> {
             stalledUntilMs = Math.max(stalledUntilMs, now() + ms);
-            loop.schedule(this::goOn, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(this::resume, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
         });
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private void goOn() {
-        double left = stalledUntilMs - now();
-        if (left > 0) {
+    private void resume() {
+        double remainingMs = stalledUntilMs - now();
+        if (remainingMs > 0) {
             loop.schedule(
-                    this::goOn, (long) (left * 1e6), TimeUnit.NANOSECONDS); // another stall, or a clock's rounding
+                    this::resume,
+                    (long) (remainingMs * 1e6),
+                    TimeUnit.NANOSECONDS); // another stall, or a clock's rounding
             return;
         }
-        for (Runnable r; (r = held.poll()) != null; ) {
-            r.run();
+        for (Runnable command; (command = stalledCommands.poll()) != null; ) {
+            command.run();
         }
     }
 
     /** From now on it takes commands and answers none, or answers again. */
-    public void mute(boolean on) {
-        run(() -> mute = on);
+    public void muted(boolean on) {
+        runOnLoop(() -> muted = on);
     }
 
     /** The next so many commands are answered that it is busy. */
-    public void busy(int commandsToTurnAway) {
-        run(() -> busy = commandsToTurnAway);
+    public void rejectNext(int commandCount) {
+        runOnLoop(() -> rejectNext = commandCount);
     }
 
     /** Watches what it is sent when cold. */
-    public FakeCacheServer watch(SlowStartMonitor by) {
-        run(() -> watch = by);
+    public FakeCacheServer slowStartMonitor(SlowStartMonitor monitor) {
+        runOnLoop(() -> slowStartMonitor = monitor);
         return this;
     }
 
     /** Ends its process: connections are reset, new ones refused, what it kept is gone. */
     public void kill() {
         server.close().syncUninterruptibly();
-        run(() -> {
-            connections.forEach(c -> c.config().setOption(ChannelOption.SO_LINGER, 0));
+        runOnLoop(() -> {
+            connections.forEach(channel -> channel.config().setOption(ChannelOption.SO_LINGER, 0));
             values.clear();
-            keys.clear();
-            held.clear();
+            idempotencyKeys.clear();
+            stalledCommands.clear();
             stalledUntilMs = 0;
             busyUntilMs = 0;
         });
@@ -215,10 +217,10 @@
     }
 
     /** Starts it again at the same address, empty and cold. */
-    public void revive() throws InterruptedException {
-        run(() -> {
-            if (watch != null) {
-                watch.born(now());
+    public void restart() throws InterruptedException {
+        runOnLoop(() -> {
+            if (slowStartMonitor != null) {
+                slowStartMonitor.recordStart(now());
             }
         });
         listen();
@@ -230,12 +232,12 @@
     }
 
     /** Loses a value without a word. */
-    public void forget(String key) {
-        run(() -> values.remove(key));
+    public void evict(String key) {
+        runOnLoop(() -> values.remove(key));
     }
 
     /** Voids a key. */
-    void drop(String key) {
+    void invalidate(String key) {
         loop.execute(() -> values.remove(key));
     }
 
@@ -249,42 +251,42 @@
         connections.close().syncUninterruptibly();
     }
 
-    private final class Conversation extends ByteToMessageDecoder {
+    private final class ConnectionHandler extends ByteToMessageDecoder {
         private String write;
-        private int missing;
+        private int missingBytes;
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
             if (write != null) {
-                if (in.readableBytes() >= missing) {
-                    byte[] value = new byte[missing - 2];
+                if (in.readableBytes() >= missingBytes) {
+                    byte[] value = new byte[missingBytes - 2];
                     in.readBytes(value).skipBytes(2);
                     String line = write;
                     write = null;
-                    take(ctx, line, value);
+                    handle(ctx, line, value);
                 }
                 return;
             }
-            String line = Lines.take(in);
+            String line = Lines.readLine(in);
             if (line == null) {
                 return;
             }
             if (line.startsWith("ms ")) {
-                missing = Integer.parseInt(line.split(" ", 4)[2]) + 2;
+                missingBytes = Integer.parseInt(line.split(" ", 4)[2]) + 2;
                 write = line;
             } else {
-                take(ctx, line, null);
+                handle(ctx, line, null);
             }
         }
 
-        private void take(ChannelHandlerContext ctx, String line, byte[] value) {
-            boolean test = line.equals("mn");
-            (test ? tested : commands).incrementAndGet();
-            if (observer != null && !test) {
-                observer.arrived(Lines.flag(line, 'O'));
+        private void handle(ChannelHandlerContext ctx, String line, byte[] value) {
+            boolean isProbe = line.equals("mn");
+            (isProbe ? probes : commands).incrementAndGet();
+            if (observer != null && !isProbe) {
+                observer.onCommand(Lines.flag(line, 'O'));
             }
-            if (now() < stalledUntilMs || !held.isEmpty()) {
-                held.add(() -> serve(ctx, line, value)); // not even to say that it is busy
+            if (now() < stalledUntilMs || !stalledCommands.isEmpty()) {
+                stalledCommands.add(() -> serve(ctx, line, value)); // not even to say that it is busy
             } else {
                 serve(ctx, line, value);
             }
@@ -293,35 +295,36 @@
         @SuppressWarnings(
                 "FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
         private void serve(ChannelHandlerContext ctx, String line, byte[] value) {
-            double now = now();
+            double nowMs = now();
             if (line.equals("mn")) {
-                if (!mute) {
-                    say(ctx, "MN\r\n");
+                if (!muted) {
+                    writeText(ctx, "MN\r\n");
                 }
                 return;
             }
-            if (watch != null) {
-                watch.arrived(now);
+            if (slowStartMonitor != null) {
+                slowStartMonitor.recordArrival(nowMs);
             }
-            if (mute) {
+            if (muted) {
                 return;
             }
-            boolean full = workMs > 0 && busyUntilMs - now > room * workMs;
-            if (busy > 0 || full) {
-                busy -= full ? 0 : 1;
-                say(ctx, "SERVER_ERROR busy\r\n");
+            boolean full = serviceTimeMs > 0 && busyUntilMs - nowMs > queueCapacity * serviceTimeMs;
+            if (rejectNext > 0 || full) {
+                rejectNext -= full ? 0 : 1;
+                writeText(ctx, "SERVER_ERROR busy\r\n");
                 return;
             }
-            busyUntilMs = Math.max(now, busyUntilMs) + workMs;
-            double at = busyUntilMs + delayMs;
-            if (at <= now) {
-                answer(ctx, line, value);
+            busyUntilMs = Math.max(nowMs, busyUntilMs) + serviceTimeMs;
+            double answerAtMs = busyUntilMs + delayMs;
+            if (answerAtMs <= nowMs) {
+                execute(ctx, line, value);
             } else {
-                loop.schedule(() -> answer(ctx, line, value), (long) ((at - now) * 1e6), TimeUnit.NANOSECONDS);
+                loop.schedule(
+                        () -> execute(ctx, line, value), (long) ((answerAtMs - nowMs) * 1e6), TimeUnit.NANOSECONDS);
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, String line, byte[] value) {
+        private void execute(ChannelHandlerContext ctx, String line, byte[] value) {
             if (!ctx.channel().isActive()) {
                 if (value == null) {
                     return; // a read has no effect; a write that has come is carried out all the same
@@ -329,38 +332,43 @@
             }
             String key = line.substring(3, line.indexOf(' ', 3));
             String id = Lines.flag(line, 'O');
-            String o = id == null ? "" : " O" + id;
+            String idFlag = id == null ? "" : " O" + id;
             if (value != null) {
                 store(line, key, value);
-                say(ctx, "HD" + o + " cw" + (id == null ? "" : id) + "\r\n");
+                writeText(ctx, "HD" + idFlag + " cw" + (id == null ? "" : id) + "\r\n");
                 return;
             }
-            ledger.read();
-            byte[] kept = values.get(key);
-            if (kept == null) {
-                if (missed != null) {
-                    missed.missed(id, key, FakeCacheServer.this);
+            ledger.recordRead();
+            byte[] storedValue = values.get(key);
+            if (storedValue == null) {
+                if (missListener != null) {
+                    missListener.onMiss(id, key, FakeCacheServer.this);
                 }
-                say(ctx, "EN" + o + " h0\r\n");
+                writeText(ctx, "EN" + idFlag + " h0\r\n");
                 return;
             }
-            ByteBuf buf = ctx.alloc().buffer(64 + kept.length);
-            ByteBufUtil.writeAscii(buf, "VA " + kept.length + o + " h1\r\n");
-            buf.writeBytes(kept).writeShort('\r' << 8 | '\n');
+            ByteBuf buf = ctx.alloc().buffer(64 + storedValue.length);
+            ByteBufUtil.writeAscii(buf, "VA " + storedValue.length + idFlag + " h1\r\n");
+            buf.writeBytes(storedValue).writeShort('\r' << 8 | '\n');
             write(ctx, buf);
         }
 
         private void store(String line, String key, byte[] value) {
-            String k = Lines.named(Lines.flag(line, 'P'), "k");
-            if (k != null && keys.size() < MOST_REPEATS && !keys.add(k)) {
-                ledger.dropped();
+            String idempotencyKey = Lines.listValue(Lines.flag(line, 'P'), "k");
+            if (idempotencyKey != null
+                    && idempotencyKeys.size() < MAX_IDEMPOTENCY_KEYS
+                    && !idempotencyKeys.add(idempotencyKey)) {
+                ledger.recordDroppedRepeat();
                 return;
             }
             values.put(key, value);
-            ledger.effect(k != null ? k : new String(value, java.nio.charset.StandardCharsets.ISO_8859_1));
+            ledger.recordEffect(
+                    idempotencyKey != null
+                            ? idempotencyKey
+                            : new String(value, java.nio.charset.StandardCharsets.ISO_8859_1));
         }
 
-        private void say(ChannelHandlerContext ctx, String text) {
+        private void writeText(ChannelHandlerContext ctx, String text) {
             write(ctx, ByteBufUtil.writeAscii(ctx.alloc(), text));
         }
 
--- a/src/main/java/cacheproxy/fakes/FakeDiscovery.java
+++ b/src/main/java/cacheproxy/fakes/FakeDiscovery.java
@@ -39,7 +39,7 @@
     private final Map<String, Entry> hosts = new LinkedHashMap<>();
 
     private final List<Watch> watches = new ArrayList<>();
-    private final AtomicInteger calls = new AtomicInteger();
+    private final AtomicInteger requestCount = new AtomicInteger();
     private long seq = 1;
 
     private record Entry(long seq, JsonObject json) {}
@@ -57,7 +57,8 @@
                     protected void initChannel(Channel channel) {
                         connections.add(channel);
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Conversation());
+                                .addLast(
+                                        new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new RequestHandler());
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -85,44 +86,46 @@
 
     /** The same for a server of a zone. */
     public void put(String host, String dial, String zone, String kind, String health, double bornMs) {
-        JsonObject h = new JsonObject();
-        h.addProperty("host", host);
-        h.addProperty("dial", dial);
-        h.addProperty("site", zone);
-        h.addProperty("class", kind);
-        h.addProperty("block", 0);
-        h.addProperty("health", health);
-        h.addProperty("share", 1.0);
-        h.addProperty("born_ms", bornMs);
+        JsonObject entry = new JsonObject();
+        entry.addProperty("host", host);
+        entry.addProperty("dial", dial);
+        entry.addProperty("site", zone);
+        entry.addProperty("class", kind);
+        entry.addProperty("block", 0);
+        entry.addProperty("health", health);
+        entry.addProperty("share", 1.0);
+        entry.addProperty("born_ms", bornMs);
         loop.submit(() -> {
-                    hosts.put(host, new Entry(++seq, h));
-                    List<Watch> told = List.copyOf(watches);
+                    hosts.put(host, new Entry(++seq, entry));
+                    List<Watch> notified = List.copyOf(watches);
                     watches.clear();
-                    told.forEach(w -> changes(w.ctx, w.since));
+                    notified.forEach(watch -> answerWithChanges(watch.ctx, watch.since));
                 })
                 .syncUninterruptibly();
     }
 
-    private void changes(ChannelHandlerContext ctx, long since) {
+    private void answerWithChanges(ChannelHandlerContext ctx, long since) {
         JsonArray list = new JsonArray();
-        hosts.values().stream().filter(e -> e.seq > since).forEach(e -> list.add(e.json));
+        hosts.values().stream().filter(entry -> entry.seq > since).forEach(entry -> list.add(entry.json));
         answer(ctx, list, false);
     }
 
     /** The whole list as it is now, in the form of an answer. */
-    public JsonObject whole() {
-        return loop.submit(() -> json(present(), true)).syncUninterruptibly().getNow();
+    public JsonObject fullList() {
+        return loop.submit(() -> responseJson(currentHosts(), true))
+                .syncUninterruptibly()
+                .getNow();
     }
 
-    private JsonArray present() {
+    private JsonArray currentHosts() {
         JsonArray list = new JsonArray();
         hosts.values().stream()
-                .filter(e -> !e.json.get("health").getAsString().equals("removed"))
-                .forEach(e -> list.add(e.json));
+                .filter(entry -> !entry.json.get("health").getAsString().equals("removed"))
+                .forEach(entry -> list.add(entry.json));
         return list;
     }
 
-    private JsonObject json(JsonArray list, boolean whole) {
+    private JsonObject responseJson(JsonArray list, boolean whole) {
         JsonObject json = new JsonObject();
         json.addProperty("seq", seq);
         json.addProperty("whole", whole);
@@ -132,7 +135,7 @@
 
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
     private void answer(ChannelHandlerContext ctx, JsonArray list, boolean whole) {
-        byte[] text = json(list, whole).toString().getBytes(StandardCharsets.UTF_8);
+        byte[] text = responseJson(list, whole).toString().getBytes(StandardCharsets.UTF_8);
         DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(text));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.length);
@@ -140,12 +143,12 @@
     }
 
     /** Calls that have come, watches among them. */
-    public int calls() {
-        return calls.get();
+    public int requestCount() {
+        return requestCount.get();
     }
 
     /** Calls that wait for a change. */
-    public int waiting() {
+    public int pendingWatches() {
         return loop.submit(watches::size).syncUninterruptibly().getNow();
     }
 
@@ -155,33 +158,33 @@
         connections.close().syncUninterruptibly();
     }
 
-    private final class Conversation extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @SuppressWarnings(
                 "FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            calls.incrementAndGet();
+            requestCount.incrementAndGet();
             Map<String, List<String>> query = new QueryStringDecoder(request.uri()).parameters();
             long since = query.containsKey("since")
                     ? Long.parseLong(query.get("since").get(0))
                     : 0;
             if (since == 0) {
-                answer(ctx, present(), true);
+                answer(ctx, currentHosts(), true);
             } else if (since < seq) {
-                changes(ctx, since);
+                answerWithChanges(ctx, since);
             } else {
-                Watch w = new Watch(ctx, since);
-                watches.add(w);
-                long wait = query.containsKey("timeout_ms")
+                Watch watch = new Watch(ctx, since);
+                watches.add(watch);
+                long timeoutMs = query.containsKey("timeout_ms")
                         ? Long.parseLong(query.get("timeout_ms").get(0))
                         : 0;
                 loop.schedule(
                         () -> {
-                            if (watches.remove(w)) {
-                                changes(ctx, since);
+                            if (watches.remove(watch)) {
+                                answerWithChanges(ctx, since);
                             }
                         },
-                        Math.min(60_000, wait),
+                        Math.min(60_000, timeoutMs),
                         TimeUnit.MILLISECONDS);
             }
         }
--- a/src/main/java/cacheproxy/fakes/FakeFleet.java
+++ b/src/main/java/cacheproxy/fakes/FakeFleet.java
@@ -17,14 +17,14 @@
     public final FakeDiscovery discovery;
 
     /** All listed by discovery, warm, as {@code s-00000001} and so on, and the origin as {@code origin}. */
-    public FakeFleet(int count) throws InterruptedException {
+    public FakeFleet(int nodeCount) throws InterruptedException {
         origin = FakeOrigin.start(loop, ledger);
         discovery = FakeDiscovery.start(loop);
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < nodeCount; i++) {
             nodes.add(FakeCacheServer.start(loop, ledger));
-            discovery.put(name(i), nodes.get(i).dial(), "node", "up", 0);
+            discovery.put(nodeName(i), nodes.get(i).dial(), "node", "up", 0);
         }
-        origin.serves(nodes);
+        origin.setNodes(nodes);
         discovery.put("origin", origin.dial(), "origin", "up", 0);
     }
 
@@ -33,15 +33,15 @@
     }
 
     /** A node's name in discovery's list. */
-    public static String name(int node) {
+    public static String nodeName(int node) {
         return "s-%08x".formatted(node + 1);
     }
 
     /** A node dies and comes back empty; discovery tells its start. */
     public void restart(int node) throws InterruptedException {
         nodes.get(node).kill();
-        nodes.get(node).revive();
-        discovery.put(name(node), nodes.get(node).dial(), "node", "up", (double) System.currentTimeMillis());
+        nodes.get(node).restart();
+        discovery.put(nodeName(node), nodes.get(node).dial(), "node", "up", (double) System.currentTimeMillis());
     }
 
     @Override
--- a/src/main/java/cacheproxy/fakes/FakeNginx.java
+++ b/src/main/java/cacheproxy/fakes/FakeNginx.java
@@ -22,9 +22,9 @@
     public FakeNginx(NginxReferenceModel model) throws IOException {
         this.model = model;
         server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-        Thread t = new Thread(this::accept, "stand-in nginx");
-        t.setDaemon(true);
-        t.start();
+        Thread acceptThread = new Thread(this::accept, "stand-in nginx");
+        acceptThread.setDaemon(true);
+        acceptThread.start();
     }
 
     public InetSocketAddress address() {
@@ -34,10 +34,10 @@
     private void accept() {
         while (!server.isClosed()) {
             try {
-                Socket s = server.accept();
-                Thread t = new Thread(() -> serve(s), "stand-in nginx client");
-                t.setDaemon(true);
-                t.start();
+                Socket socket = server.accept();
+                Thread thread = new Thread(() -> serve(socket), "stand-in nginx client");
+                thread.setDaemon(true);
+                thread.start();
             } catch (IOException closed) {
                 return;
             }
@@ -50,21 +50,21 @@
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
             OutputStream out = socket.getOutputStream();
-            for (String first; (first = in.readLine()) != null; ) {
+            for (String requestLine; (requestLine = in.readLine()) != null; ) {
                 String host = "";
                 for (String line; (line = in.readLine()) != null && !line.isEmpty(); ) {
                     if (line.regionMatches(true, 0, "Host:", 0, 5)) {
                         host = line.substring(5).trim();
                     }
                 }
-                String[] words = first.split(" ", 0);
-                NginxReferenceModel.Answer a = words.length < 2
+                String[] words = requestLine.split(" ", 0);
+                NginxReferenceModel.Answer answer = words.length < 2
                         ? new NginxReferenceModel.Answer(400, null, null, null)
-                        : model.ask(model.firstSocket(), words[0], host, words[1]);
-                String head = a.status() != 0
-                        ? "HTTP/1.1 " + a.status() + " by itself\r\n"
-                        : "HTTP/1.1 200 OK\r\nX-Pool: " + a.pool() + "\r\nX-Node: "
-                                + (a.node() == null ? "-" : a.node()) + "\r\nX-Uri: " + a.uri() + "\r\n";
+                        : model.respond(model.firstSocket(), words[0], host, words[1]);
+                String head = answer.status() != 0
+                        ? "HTTP/1.1 " + answer.status() + " by itself\r\n"
+                        : "HTTP/1.1 200 OK\r\nX-Pool: " + answer.pool() + "\r\nX-Node: "
+                                + (answer.node() == null ? "-" : answer.node()) + "\r\nX-Uri: " + answer.uri() + "\r\n";
                 out.write((head + "Content-Length: 0\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
                 out.flush();
             }
--- a/src/main/java/cacheproxy/fakes/FakeOrigin.java
+++ b/src/main/java/cacheproxy/fakes/FakeOrigin.java
@@ -38,26 +38,26 @@
  * counted in the ledger, repeats of keyed ones dropped. It tells the nodes what they missed.
  */
 public final class FakeOrigin implements AutoCloseable {
-    private static final int MOST_MISSED = 100_000;
+    private static final int MAX_MISSES = 100_000;
 
     private final EventLoop loop;
     private final EffectLedger ledger;
     private final ChannelGroup connections;
-    private final Map<String, FakeCacheServer> missedAt = new LinkedHashMap<>() {
+    private final Map<String, FakeCacheServer> nodesByMiss = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, FakeCacheServer> eldest) {
-            return size() > MOST_MISSED;
+            return size() > MAX_MISSES;
         }
     };
-    private final Set<String> keys = new HashSet<>();
-    private final Map<String, byte[]> written = new HashMap<>();
+    private final Set<String> idempotencyKeys = new HashSet<>();
+    private final Map<String, byte[]> writtenValues = new HashMap<>();
     private final AtomicInteger fetches = new AtomicInteger();
     private final Channel server;
     private Iterable<FakeCacheServer> nodes = java.util.List.of();
-    private double workMs;
-    private boolean mute;
+    private double serviceTimeMs;
+    private boolean muted;
     private boolean declining;
 
     private FakeOrigin(EventLoop loop, EffectLedger ledger) throws InterruptedException {
@@ -73,7 +73,8 @@
                     protected void initChannel(Channel channel) {
                         connections.add(channel);
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(8 << 20), new Conversation());
+                                .addLast(
+                                        new HttpServerCodec(), new HttpObjectAggregator(8 << 20), new RequestHandler());
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -104,28 +105,28 @@
     }
 
     /** The nodes that it stores missed values at and voids written keys of. */
-    public void serves(Iterable<FakeCacheServer> fleet) {
+    public void setNodes(Iterable<FakeCacheServer> fleet) {
         loop.submit(() -> {
                     nodes = fleet;
-                    fleet.forEach(n ->
-                            n.onMiss((id, key, node) -> loop.execute(() -> missedAt.put(id + " " + key, node))));
+                    fleet.forEach(cacheServer -> cacheServer.setMissListener(
+                            (id, key, node) -> loop.execute(() -> nodesByMiss.put(id + " " + key, node))));
                 })
                 .syncUninterruptibly();
     }
 
     /** Each request takes so long; it does many at once. */
-    public FakeOrigin work(double ms) {
-        loop.submit(() -> workMs = ms).syncUninterruptibly();
+    public FakeOrigin setServiceTimeMs(double ms) {
+        loop.submit(() -> serviceTimeMs = ms).syncUninterruptibly();
         return this;
     }
 
     /** From now on it carries out what comes and answers nothing, or answers again. */
-    public void mute(boolean on) {
-        loop.submit(() -> mute = on).syncUninterruptibly();
+    public void muted(boolean on) {
+        loop.submit(() -> muted = on).syncUninterruptibly();
     }
 
     /** From now on it declines what comes without carrying it out, or takes it again. */
-    public void decline(boolean on) {
+    public void setDeclining(boolean on) {
         loop.submit(() -> declining = on).syncUninterruptibly();
     }
 
@@ -135,13 +136,13 @@
         connections.close().syncUninterruptibly();
     }
 
-    private final class Conversation extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             String key = URLDecoder.decode(request.uri().substring(1), StandardCharsets.ISO_8859_1);
             String id = request.headers().get("Req-Id");
-            String k = Lines.named(request.headers().get("Req-Extra"), "k");
+            String idempotencyKey = Lines.listValue(request.headers().get("Req-Extra"), "k");
             boolean write = request.method().equals(HttpMethod.PUT);
             byte[] body = ByteBufUtil.getBytes(request.content());
             if (declining) {
@@ -151,34 +152,39 @@
                 ctx.writeAndFlush(response);
                 return;
             }
-            if (workMs > 0) {
-                loop.schedule(() -> answer(ctx, key, id, k, write, body), (long) (workMs * 1e6), TimeUnit.NANOSECONDS);
+            if (serviceTimeMs > 0) {
+                loop.schedule(
+                        () -> answer(ctx, key, id, idempotencyKey, write, body),
+                        (long) (serviceTimeMs * 1e6),
+                        TimeUnit.NANOSECONDS);
             } else {
-                answer(ctx, key, id, k, write, body);
+                answer(ctx, key, id, idempotencyKey, write, body);
             }
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
-        private void answer(ChannelHandlerContext ctx, String key, String id, String k, boolean write, byte[] body) {
+        private void answer(
+                ChannelHandlerContext ctx, String key, String id, String idempotencyKey, boolean write, byte[] body) {
             byte[] answer;
             if (write) {
-                if (k != null && !keys.add(k)) {
-                    ledger.dropped();
+                if (idempotencyKey != null && !idempotencyKeys.add(idempotencyKey)) {
+                    ledger.recordDroppedRepeat();
                 } else {
-                    ledger.effect(k != null ? k : new String(body, StandardCharsets.ISO_8859_1));
-                    written.put(key, body);
-                    nodes.forEach(n -> n.drop(key));
+                    ledger.recordEffect(
+                            idempotencyKey != null ? idempotencyKey : new String(body, StandardCharsets.ISO_8859_1));
+                    writtenValues.put(key, body);
+                    nodes.forEach(cacheServer -> cacheServer.invalidate(key));
                 }
                 answer = ("w" + id).getBytes(StandardCharsets.ISO_8859_1);
             } else {
                 fetches.incrementAndGet();
-                answer = written.getOrDefault(key, value(key).getBytes(StandardCharsets.ISO_8859_1));
-                FakeCacheServer node = missedAt.remove(id + " " + key);
+                answer = writtenValues.getOrDefault(key, value(key).getBytes(StandardCharsets.ISO_8859_1));
+                FakeCacheServer node = nodesByMiss.remove(id + " " + key);
                 if (node != null) {
                     node.store(key, answer);
                 }
             }
-            if (mute) {
+            if (muted) {
                 return;
             }
             ByteBuf content = Unpooled.wrappedBuffer(answer);
--- a/src/main/java/cacheproxy/fakes/Lines.java
+++ b/src/main/java/cacheproxy/fakes/Lines.java
@@ -8,33 +8,33 @@
     private Lines() {}
 
     /** A line without its end; null while it is not all there. */
-    static String take(ByteBuf in) {
+    static String readLine(ByteBuf in) {
         int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
         if (end < 0) {
             return null;
         }
         int length = end - in.readerIndex();
-        int text = length > 0 && in.getByte(end - 1) == '\r' ? length - 1 : length;
-        String line = in.toString(in.readerIndex(), text, StandardCharsets.ISO_8859_1);
+        int textLength = length > 0 && in.getByte(end - 1) == '\r' ? length - 1 : length;
+        String line = in.toString(in.readerIndex(), textLength, StandardCharsets.ISO_8859_1);
         in.readerIndex(end + 1);
         return line;
     }
 
     /** The rest of the word that begins with this letter, from the third word on; null if there is none. */
     static String flag(String line, char letter) {
-        int at = line.indexOf(' ', line.indexOf(' ') + 1);
-        while (at >= 0 && at + 1 < line.length()) {
-            int end = line.indexOf(' ', at + 1);
-            if (line.charAt(at + 1) == letter) {
-                return line.substring(at + 2, end < 0 ? line.length() : end);
+        int position = line.indexOf(' ', line.indexOf(' ') + 1);
+        while (position >= 0 && position + 1 < line.length()) {
+            int end = line.indexOf(' ', position + 1);
+            if (line.charAt(position + 1) == letter) {
+                return line.substring(position + 2, end < 0 ? line.length() : end);
             }
-            at = end;
+            position = end;
         }
         return null;
     }
 
     /** The value under a name in a list such as {@code c=read,d=480}; null if it is not there. */
-    static String named(String list, String name) {
+    static String listValue(String list, String name) {
         for (String pair : list == null ? new String[0] : list.split(",")) {
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
--- a/src/main/java/cacheproxy/fakes/LoadClient.java
+++ b/src/main/java/cacheproxy/fakes/LoadClient.java
@@ -25,59 +25,59 @@
  */
 public final class LoadClient {
     /** What to ask. {@code mark} tells a write apart in its value; {@code expect} is a read's value, null: any. */
-    public record Ask(String key, String list, String mark, String expect) {}
+    public record LoadRequest(String key, String parameters, String writeValue, String expectedValue) {}
 
     /** What became of all. */
-    public static final class Account {
+    public static final class LoadResult {
         public int sent;
         public int served;
         public int refused;
-        public int refusedWithoutTime;
+        public int refusedWithoutRetryAfter;
         public int failed;
-        public int missing;
+        public int missed;
         /** No answer, an answer to nothing, or a wrong value. */
         public int lost;
 
-        public final List<String> faults = new ArrayList<>();
+        public final List<String> errors = new ArrayList<>();
 
         public int answered() {
-            return served + refused + failed + missing;
+            return served + refused + failed + missed;
         }
 
-        private void fault(String what) {
+        private void recordLost(String error) {
             lost++;
-            if (faults.size() < 20) {
-                faults.add(what);
+            if (errors.size() < 20) {
+                errors.add(error);
             }
         }
     }
 
     private final EventLoop loop;
-    private final SocketAddress to;
-    private final IntFunction<Ask> asks;
-    private final int total;
-    private final Account account = new Account();
-    private final CompletableFuture<Account> done = new CompletableFuture<>();
-    private final List<Conversation> conversations = new ArrayList<>();
-    private java.util.function.IntConsumer progress = n -> {};
+    private final SocketAddress address;
+    private final IntFunction<LoadRequest> requests;
+    private final int requestCount;
+    private final LoadResult result = new LoadResult();
+    private final CompletableFuture<LoadResult> done = new CompletableFuture<>();
+    private final List<ConnectionHandler> handlers = new ArrayList<>();
+    private java.util.function.IntConsumer progressListener = n -> {};
 
     /** @param asks the request of each number from 0 on; called on the loop */
-    public LoadClient(EventLoop loop, SocketAddress to, int total, IntFunction<Ask> asks) {
+    public LoadClient(EventLoop loop, SocketAddress address, int requestCount, IntFunction<LoadRequest> asks) {
         this.loop = loop;
-        this.to = to;
-        this.total = total;
-        this.asks = asks;
+        this.address = address;
+        this.requestCount = requestCount;
+        this.requests = asks;
     }
 
     /** Told on the loop how many have been answered, after each answer. */
     public LoadClient onProgress(java.util.function.IntConsumer listener) {
-        progress = listener;
+        progressListener = listener;
         return this;
     }
 
     /** Starts so many connections with so many requests in hand on each; the future ends with the last answer. */
-    public CompletableFuture<Account> start(int connections, int depth) {
-        for (int i = 0; i < connections; i++) {
+    public CompletableFuture<LoadResult> start(int connectionCount, int pipelineDepth) {
+        for (int i = 0; i < connectionCount; i++) {
             new Bootstrap()
                     .group(loop)
                     .channel(Transport.BEST.socket())
@@ -85,15 +85,15 @@
                     .handler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            Conversation c = new Conversation(depth);
-                            conversations.add(c);
+                            ConnectionHandler c = new ConnectionHandler(pipelineDepth);
+                            handlers.add(c);
                             channel.pipeline().addLast(c);
                         }
                     })
-                    .connect(to)
-                    .addListener(f -> {
-                        if (!f.isSuccess()) {
-                            done.completeExceptionally(f.cause());
+                    .connect(address)
+                    .addListener(connected -> {
+                        if (!connected.isSuccess()) {
+                            done.completeExceptionally(connected.cause());
                         }
                     });
         }
@@ -101,44 +101,46 @@
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
-    private void check() {
-        progress.accept(account.answered() + account.lost);
-        if (account.answered() + account.lost == total) {
-            List.copyOf(conversations).forEach(c -> c.ctx.close());
-            done.complete(account);
+    private void completeIfDone() {
+        progressListener.accept(result.answered() + result.lost);
+        if (result.answered() + result.lost == requestCount) {
+            List.copyOf(handlers).forEach(handler -> handler.ctx.close());
+            done.complete(result);
         }
     }
 
-    private final class Conversation extends ByteToMessageDecoder {
-        private final int depth;
-        private final ArrayDeque<Ask> waiting = new ArrayDeque<>();
+    private final class ConnectionHandler extends ByteToMessageDecoder {
+        private final int pipelineDepth;
+        private final ArrayDeque<LoadRequest> pending = new ArrayDeque<>();
         private ChannelHandlerContext ctx;
-        private int missing = -1;
-        private int paused;
+        private int valueLength = -1;
+        private int activePauses;
 
-        Conversation(int depth) {
-            this.depth = depth;
+        ConnectionHandler(int pipelineDepth) {
+            this.pipelineDepth = pipelineDepth;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             ctx = context;
-            fill();
+            sendRequests();
             ctx.flush();
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
-        private void fill() {
-            while (paused == 0 && waiting.size() < depth && account.sent < total) {
-                Ask ask = asks.apply(account.sent++);
-                waiting.add(ask);
+        private void sendRequests() {
+            while (activePauses == 0 && pending.size() < pipelineDepth && result.sent < requestCount) {
+                LoadRequest request = requests.apply(result.sent++);
+                pending.add(request);
                 ByteBuf buf = ctx.alloc().buffer(128);
-                String list = ask.list().isEmpty() ? "" : " P" + ask.list();
-                if (ask.mark() == null) {
-                    ByteBufUtil.writeAscii(buf, "mg " + ask.key() + " v" + list + "\r\n");
+                String parameters = request.parameters().isEmpty() ? "" : " P" + request.parameters();
+                if (request.writeValue() == null) {
+                    ByteBufUtil.writeAscii(buf, "mg " + request.key() + " v" + parameters + "\r\n");
                 } else {
                     ByteBufUtil.writeAscii(
-                            buf, "ms " + ask.key() + " " + ask.mark().length() + list + "\r\n" + ask.mark() + "\r\n");
+                            buf,
+                            "ms " + request.key() + " " + request.writeValue().length() + parameters + "\r\n"
+                                    + request.writeValue() + "\r\n");
                 }
                 ctx.write(buf);
             }
@@ -146,64 +148,65 @@
 
         @Override
         protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-            if (missing >= 0) {
-                if (in.readableBytes() < missing + 2) {
+            if (valueLength >= 0) {
+                if (in.readableBytes() < valueLength + 2) {
                     return;
                 }
-                Ask ask = waiting.poll();
-                if (ask.expect() != null
-                        && !ask.expect().equals(in.toString(in.readerIndex(), missing, StandardCharsets.ISO_8859_1))) {
-                    account.fault("wrong value for " + ask.key());
+                LoadRequest request = pending.poll();
+                if (request.expectedValue() != null
+                        && !request.expectedValue()
+                                .equals(in.toString(in.readerIndex(), valueLength, StandardCharsets.ISO_8859_1))) {
+                    result.recordLost("wrong value for " + request.key());
                 } else {
-                    account.served++;
+                    result.served++;
                 }
-                in.skipBytes(missing + 2);
-                missing = -1;
-                answered();
+                in.skipBytes(valueLength + 2);
+                valueLength = -1;
+                onAnswered();
                 return;
             }
-            String line = Lines.take(in);
+            String line = Lines.readLine(in);
             if (line == null) {
                 return;
             }
-            Ask ask = waiting.peek();
-            if (ask == null) {
-                account.fault("answer to nothing: " + line);
+            LoadRequest request = pending.peek();
+            if (request == null) {
+                result.recordLost("answer to nothing: " + line);
                 return;
             }
-            if (line.startsWith("VA ") && ask.mark() == null) {
-                missing = Integer.parseInt(line.split(" ", 0)[1]);
+            if (line.startsWith("VA ") && request.writeValue() == null) {
+                valueLength = Integer.parseInt(line.split(" ", 0)[1]);
                 return;
             }
-            waiting.poll();
-            if (line.startsWith("HD") && ask.mark() != null) {
-                account.served++;
+            pending.poll();
+            if (line.startsWith("HD") && request.writeValue() != null) {
+                result.served++;
             } else if (line.startsWith("SERVER_ERROR busy")) {
-                account.refused++;
-                boolean told = line.startsWith("SERVER_ERROR busy ");
-                account.refusedWithoutTime += told ? 0 : 1;
-                if (told) {
-                    pause(Integer.parseInt(line.substring(18)));
+                result.refused++;
+                boolean hasRetryAfter = line.startsWith("SERVER_ERROR busy ");
+                result.refusedWithoutRetryAfter += hasRetryAfter ? 0 : 1;
+                if (hasRetryAfter) {
+                    pauseSending(Integer.parseInt(line.substring(18)));
                 }
             } else if (line.startsWith("SERVER_ERROR")) {
-                account.failed++;
+                result.failed++;
             } else if (line.startsWith("EN")) {
-                account.missing++;
+                result.missed++;
             } else {
-                account.fault("unexpected: " + line);
+                result.recordLost("unexpected: " + line);
             }
-            answered();
+            onAnswered();
         }
 
         /** A client that is told when to come back asks nothing before. */
         @SuppressWarnings(
                 "FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-        private void pause(int ms) {
-            paused++;
+        private void pauseSending(int ms) {
+            activePauses++;
             loop.schedule(
                     () -> {
-                        if (--paused == 0 && ctx.channel().isActive()) {
-                            fill();
+                        if (--activePauses == 0 && ctx.channel().isActive()) {
+                            sendRequests();
                             ctx.flush();
                         }
                     },
@@ -211,9 +214,9 @@
                     TimeUnit.MILLISECONDS);
         }
 
-        private void answered() {
-            fill();
-            check();
+        private void onAnswered() {
+            sendRequests();
+            completeIfDone();
         }
 
         @Override
@@ -223,12 +226,12 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            conversations.remove(this);
+            handlers.remove(this);
             if (!done.isDone()) {
-                for (Ask ask; (ask = waiting.poll()) != null; ) {
-                    account.fault("connection ended before the answer for " + ask.key());
+                for (LoadRequest request; (request = pending.poll()) != null; ) {
+                    result.recordLost("connection ended before the answer for " + request.key());
                 }
-                check();
+                completeIfDone();
             }
         }
 
--- a/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
+++ b/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
@@ -20,12 +20,12 @@
 public final class LossyDatagramLink implements AutoCloseable {
     private final EventLoop loop;
     private final SplittableRandom random;
-    private final double lost;
-    private final double doubled;
-    private final double lateMs;
-    private final Channel faceOfB;
-    private final Channel faceOfA;
-    private final AtomicInteger passed = new AtomicInteger();
+    private final double lossRate;
+    private final double duplicationRate;
+    private final double maxDelayMs;
+    private final Channel aliasOfB;
+    private final Channel aliasOfA;
+    private final AtomicInteger forwarded = new AtomicInteger();
     private final AtomicInteger dropped = new AtomicInteger();
 
     /**
@@ -46,36 +46,36 @@
             throws InterruptedException {
         this.loop = loop;
         random = new SplittableRandom(seed);
-        this.lost = lost;
-        this.doubled = doubled;
-        this.lateMs = lateMs;
-        faceOfB = bind(new Side(true, b));
-        faceOfA = bind(new Side(false, a));
+        this.lossRate = lost;
+        this.duplicationRate = doubled;
+        this.maxDelayMs = lateMs;
+        aliasOfB = bind(new Forwarder(true, b));
+        aliasOfA = bind(new Forwarder(false, a));
     }
 
-    private Channel bind(Side side) throws InterruptedException {
+    private Channel bind(Forwarder forwarder) throws InterruptedException {
         return new Bootstrap()
                 .group(loop)
                 .channel(Transport.BEST.datagram())
-                .handler(side)
+                .handler(forwarder)
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel();
     }
 
     /** Where a sends what is for b. */
-    public InetSocketAddress towardsB() {
-        return (InetSocketAddress) faceOfB.localAddress();
+    public InetSocketAddress aliasAddressOfB() {
+        return (InetSocketAddress) aliasOfB.localAddress();
     }
 
     /** Where b sends what is for a. */
-    public InetSocketAddress towardsA() {
-        return (InetSocketAddress) faceOfA.localAddress();
+    public InetSocketAddress aliasAddressOfA() {
+        return (InetSocketAddress) aliasOfA.localAddress();
     }
 
     /** Datagrams that passed, and those that did not. */
-    public int passed() {
-        return passed.get();
+    public int forwarded() {
+        return forwarded.get();
     }
 
     public int dropped() {
@@ -84,33 +84,33 @@
 
     @Override
     public void close() {
-        faceOfA.close().syncUninterruptibly();
-        faceOfB.close().syncUninterruptibly();
+        aliasOfA.close().syncUninterruptibly();
+        aliasOfB.close().syncUninterruptibly();
     }
 
-    private final class Side extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class Forwarder extends SimpleChannelInboundHandler<DatagramPacket> {
         private final boolean fromA;
-        private final InetSocketAddress to;
+        private final InetSocketAddress destination;
 
-        Side(boolean fromA, InetSocketAddress to) {
+        Forwarder(boolean fromA, InetSocketAddress destination) {
             this.fromA = fromA;
-            this.to = to;
+            this.destination = destination;
         }
 
         @SuppressWarnings(
                 "FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            if (random.nextDouble() < lost) {
+            if (random.nextDouble() < lossRate) {
                 dropped.incrementAndGet();
                 return;
             }
-            passed.incrementAndGet();
-            for (int n = random.nextDouble() < doubled ? 2 : 1; n > 0; n--) {
-                DatagramPacket p = new DatagramPacket(packet.content().copy(), to);
+            forwarded.incrementAndGet();
+            for (int copies = random.nextDouble() < duplicationRate ? 2 : 1; copies > 0; copies--) {
+                DatagramPacket copy = new DatagramPacket(packet.content().copy(), destination);
                 loop.schedule(
-                        () -> (fromA ? faceOfA : faceOfB).writeAndFlush(p),
-                        (long) (random.nextDouble() * lateMs * 1e6),
+                        () -> (fromA ? aliasOfA : aliasOfB).writeAndFlush(copy),
+                        (long) (random.nextDouble() * maxDelayMs * 1e6),
                         TimeUnit.NANOSECONDS);
             }
         }
--- a/src/main/java/cacheproxy/fakes/NginxReferenceModel.java
+++ b/src/main/java/cacheproxy/fakes/NginxReferenceModel.java
@@ -39,7 +39,7 @@
      * @param socket where it comes in, such as {@code *:80}
      * @param requestUri path and query
      */
-    public Answer ask(String socket, String method, String host, String requestUri) {
+    public Answer respond(String socket, String method, String host, String requestUri) {
         Response response = interpreter.respond(socket, method, host, requestUri);
         return new Answer(response.status(), response.upstream(), response.server(), response.uri());
     }
--- a/src/main/java/cacheproxy/fakes/ScriptedServer.java
+++ b/src/main/java/cacheproxy/fakes/ScriptedServer.java
@@ -30,7 +30,10 @@
         public final OutputStream out;
         private final ScriptedServer server;
 
-        /** @param server which keeps what {@link #command} and {@link #request} read; null where neither is called */
+        /**
+         * @param server which keeps what {@link #readCommand} and {@link #readRequest} read; null where neither is
+         *     called
+         */
         public Connection(Socket socket, ScriptedServer server) throws IOException {
             this.socket = socket;
             this.server = server;
@@ -39,13 +42,13 @@
         }
 
         /** A line without its end; null at the end of the stream. */
-        public String line() throws IOException {
-            return ScriptedServer.line(in);
+        public String readLine() throws IOException {
+            return ScriptedServer.readLine(in);
         }
 
         /** The next command of a proxy, kept for the test to see; null at the end of the stream. */
-        public String command() throws IOException {
-            String line = line();
+        public String readCommand() throws IOException {
+            String line = readLine();
             if (line != null) {
                 server.commands.add(line);
             }
@@ -53,10 +56,10 @@
         }
 
         /** The next HTTP request, its lines and body in one text; null at the end of the stream. */
-        public String request() throws IOException {
+        public String readRequest() throws IOException {
             StringBuilder text = new StringBuilder();
             int length = 0;
-            for (String line; (line = line()) != null; ) {
+            for (String line; (line = readLine()) != null; ) {
                 if (line.isEmpty()) {
                     text.append('\n').append(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
                     server.commands.add(text.toString());
@@ -70,13 +73,13 @@
             return null;
         }
 
-        public void say(String text) throws IOException {
+        public void send(String text) throws IOException {
             out.write(text.getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
         }
 
-        public void sayHttp(int status, String headers, String body) throws IOException {
-            say("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+        public void sendHttp(int status, String headers, String body) throws IOException {
+            send("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         /** Ends the connection with a reset. */
@@ -98,7 +101,7 @@
     }
 
     /** A line without its end; null at the end of the stream. */
-    public static String line(InputStream in) throws IOException {
+    public static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b; (b = in.read()) != '\n'; ) {
             if (b < 0) {
@@ -112,13 +115,13 @@
     }
 
     /** The id of a command or of a request to the origin. */
-    public static String id(String command) {
-        int at = command.contains("Req-Id: ")
+    public static String requestId(String command) {
+        int start = command.contains("Req-Id: ")
                 ? command.indexOf("Req-Id: ") + 8
                 : command.toLowerCase(Locale.ROOT).contains("req-id: ")
                         ? command.toLowerCase(Locale.ROOT).indexOf("req-id: ") + 8
                         : command.indexOf(" O") + 2;
-        return command.substring(at).split("\\s", 0)[0];
+        return command.substring(start).split("\\s", 0)[0];
     }
 
     public final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
@@ -128,13 +131,13 @@
 
     public ScriptedServer(Script script) throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(() -> {
+        startDaemonThread(() -> {
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
                 Connection connection = new Connection(socket, this);
                 accepted.add(connection);
-                daemon(() -> {
+                startDaemonThread(() -> {
                     try (socket) {
                         script.run(connection);
                     }
@@ -145,9 +148,9 @@
 
     /** A cache node that answers reads with what this function makes of the command's line. */
     public static ScriptedServer node(Function<String, String> answer) throws IOException {
-        return new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
-                c.say(answer.apply(line));
+        return new ScriptedServer(connection -> {
+            for (String line; (line = connection.readCommand()) != null; ) {
+                connection.send(answer.apply(line));
             }
         });
     }
@@ -156,7 +159,7 @@
         void run() throws Exception;
     }
 
-    private static void daemon(Task task) {
+    private static void startDaemonThread(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -177,7 +180,7 @@
     }
 
     /** The next command that any connection read. */
-    public String next() throws InterruptedException {
+    public String awaitCommand() throws InterruptedException {
         String command = commands.poll(20, TimeUnit.SECONDS);
         if (command == null) {
             throw new AssertionError("no command came");
@@ -188,8 +191,8 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : sockets) {
-            s.close();
+        for (Socket socket : sockets) {
+            socket.close();
         }
     }
 }
--- a/src/main/java/cacheproxy/fakes/SlowStartMonitor.java
+++ b/src/main/java/cacheproxy/fakes/SlowStartMonitor.java
@@ -7,49 +7,50 @@
  * pushed over, measured at the node. Times in milliseconds.
  */
 public final class SlowStartMonitor {
-    private final double perSecond;
+    private final double warmCapacityPerSecond;
     private final double startCapacity;
     private final double warmUpMs;
-    private final double fallMs;
+    private final double windowMs;
     private final ArrayDeque<Double> arrivals = new ArrayDeque<>();
-    private double bornMs = Double.NaN;
-    private double worst;
-    private int sent;
+    private double startMs = Double.NaN;
+    private double worstOverload;
+    private int requestsWhileCold;
 
     /** @param perSecond what the node can do when warm */
-    public SlowStartMonitor(double perSecond, double startCapacity, double warmUpMs, double fallMs) {
-        this.perSecond = perSecond;
+    public SlowStartMonitor(double perSecond, double startCapacity, double warmUpMs, double windowMs) {
+        this.warmCapacityPerSecond = perSecond;
         this.startCapacity = startCapacity;
         this.warmUpMs = warmUpMs;
-        this.fallMs = fallMs;
+        this.windowMs = windowMs;
     }
 
-    public void born(double now) {
-        bornMs = now;
+    public void recordStart(double nowMs) {
+        startMs = nowMs;
         arrivals.clear();
     }
 
-    public void arrived(double now) {
-        if (Double.isNaN(bornMs) || now - bornMs > warmUpMs) {
+    public void recordArrival(double nowMs) {
+        if (Double.isNaN(startMs) || nowMs - startMs > warmUpMs) {
             return;
         }
-        sent++;
-        arrivals.add(now);
-        while (arrivals.peek() < now - fallMs) {
+        requestsWhileCold++;
+        arrivals.add(nowMs);
+        while (arrivals.peek() < nowMs - windowMs) {
             arrivals.poll();
         }
-        double from = arrivals.peek();
-        double can = startCapacity + (1 - startCapacity) * Math.max(0, from - bornMs) / warmUpMs;
-        worst = Math.max(worst, arrivals.size() / (perSecond * can * fallMs / 1000));
+        double windowStartMs = arrivals.peek();
+        double capacityFraction = startCapacity + (1 - startCapacity) * Math.max(0, windowStartMs - startMs) / warmUpMs;
+        worstOverload =
+                Math.max(worstOverload, arrivals.size() / (warmCapacityPerSecond * capacityFraction * windowMs / 1000));
     }
 
     /** The most it was sent in any span of the fall time, as a multiple of what it could do at the span's start. */
-    public double worst() {
-        return worst;
+    public double worstOverload() {
+        return worstOverload;
     }
 
     /** What it was sent while it was cold. */
-    public int sent() {
-        return sent;
+    public int requestsWhileCold() {
+        return requestsWhileCold;
     }
 }
--- a/src/main/java/cacheproxy/fakes/nginx/ReferenceHashes.java
+++ b/src/main/java/cacheproxy/fakes/nginx/ReferenceHashes.java
@@ -11,23 +11,23 @@
     /** MurmurHash2 with seed 0, as an unsigned 32-bit number. */
     static long murmur2(byte[] data) {
         long hash = data.length;
-        int at = 0;
-        int left = data.length;
-        while (left >= 4) {
+        int offset = 0;
+        int remaining = data.length;
+        while (remaining >= 4) {
             long block = 0;
             for (int i = 3; i >= 0; i--) {
-                block = block << 8 | (data[at + i] & 0xFF);
+                block = block << 8 | (data[offset + i] & 0xFF);
             }
             block = multiply(block);
             block ^= block >> 24;
             hash = multiply(hash) ^ multiply(block);
-            at += 4;
-            left -= 4;
+            offset += 4;
+            remaining -= 4;
         }
-        for (int i = left - 1; i >= 0; i--) {
-            hash ^= (long) (data[at + i] & 0xFF) << (8 * i);
+        for (int i = remaining - 1; i >= 0; i--) {
+            hash ^= (long) (data[offset + i] & 0xFF) << (8 * i);
         }
-        if (left > 0) {
+        if (remaining > 0) {
             hash = multiply(hash);
         }
         hash ^= hash >> 13;
--- a/src/main/java/cacheproxy/fakes/nginx/RequestInterpreter.java
+++ b/src/main/java/cacheproxy/fakes/nginx/RequestInterpreter.java
@@ -11,7 +11,7 @@
     private final ServerSelector servers;
     private final LocationFinder locations;
     private final RewriteInterpreter rewrites;
-    private final ContentHandler contents;
+    private final ContentHandler contentHandler;
 
     /** Creates an interpreter of a configuration. */
     public RequestInterpreter(List<Directive> tree) {
@@ -21,7 +21,7 @@
         servers = new ServerSelector(http.servers(), patterns);
         locations = new LocationFinder(patterns);
         rewrites = new RewriteInterpreter(patterns, variables);
-        contents = new ContentHandler(http.upstreams(), variables, rewrites);
+        contentHandler = new ContentHandler(http.upstreams(), variables, rewrites);
     }
 
     /** The first socket of the configuration. */
@@ -74,7 +74,7 @@
             }
             request.setRewriteEnded(false);
         }
-        String path = contents.handle(server, location == null ? server : location, request);
+        String path = contentHandler.handle(server, location == null ? server : location, request);
         if (path == null) {
             return false;
         }
--- a/src/main/java/cacheproxy/fakes/nginx/RewriteInterpreter.java
+++ b/src/main/java/cacheproxy/fakes/nginx/RewriteInterpreter.java
@@ -43,7 +43,7 @@
                 return rewrite(directive, request);
             }
             case "if" -> {
-                return holds(directive, request) && runIf(directive, request);
+                return conditionHolds(directive, request) && runIf(directive, request);
             }
             default -> {}
         }
@@ -87,7 +87,7 @@
         return !flag.isEmpty();
     }
 
-    private boolean holds(Directive directive, SimulatedRequest request) {
+    private boolean conditionHolds(Directive directive, SimulatedRequest request) {
         String[] words = condition(directive).split("\\s+", 3);
         if (!words[0].startsWith("$")) {
             return words[0].startsWith("!-"); // there are no files
--- a/src/main/java/cacheproxy/fakes/nginx/SimulatedRequest.java
+++ b/src/main/java/cacheproxy/fakes/nginx/SimulatedRequest.java
@@ -36,8 +36,8 @@
 
     /** Reads a request; null if its path is malformed. */
     static SimulatedRequest of(String method, String host, String uriWithFragment) {
-        int sharp = uriWithFragment.indexOf('#');
-        String uri = sharp < 0 ? uriWithFragment : uriWithFragment.substring(0, sharp);
+        int hash = uriWithFragment.indexOf('#');
+        String uri = hash < 0 ? uriWithFragment : uriWithFragment.substring(0, hash);
         int question = uri.indexOf('?');
         String args = question < 0 ? null : uri.substring(question + 1);
         String path = PathNormalizer.normalize(question < 0 ? uri : uri.substring(0, question));
--- a/src/main/java/cacheproxy/fakes/nginx/UpstreamBalancer.java
+++ b/src/main/java/cacheproxy/fakes/nginx/UpstreamBalancer.java
@@ -94,15 +94,15 @@
         return null;
     }
 
-    private static Peer peerAt(long place, List<Peer> peers) {
-        long left = place;
+    private static Peer peerAt(long position, List<Peer> peers) {
+        long remaining = position;
         for (Peer peer : peers) {
-            if (left < peer.weight) {
+            if (remaining < peer.weight) {
                 return peer;
             }
-            left -= peer.weight;
+            remaining -= peer.weight;
         }
-        throw new IllegalArgumentException("place " + place + " is not below the sum of weights");
+        throw new IllegalArgumentException("place " + position + " is not below the sum of weights");
     }
 
     /** As Cache::Memcached::Fast distributes keys. */
--- a/src/main/java/cacheproxy/fakes/nginx/VariableExpander.java
+++ b/src/main/java/cacheproxy/fakes/nginx/VariableExpander.java
@@ -59,7 +59,7 @@
             return argument(name.substring(ARGUMENT_PREFIX.length()), request);
         }
         Directive definition = definition(name);
-        return definition != null ? defined(definition, request) : namedGroup(name, request);
+        return definition != null ? definedValue(definition, request) : namedGroup(name, request);
     }
 
     private static String group(int index, SimulatedRequest request) {
@@ -115,7 +115,7 @@
         return null;
     }
 
-    private String defined(Directive definition, SimulatedRequest request) {
+    private String definedValue(Directive definition, SimulatedRequest request) {
         return switch (definition.name()) {
             case "map" -> expand(maps.lookUp(definition, expand(definition.arg(0), request)), request);
             case "split_clients" -> expand(split(definition, expand(definition.arg(0), request)), request);
--- a/src/main/java/cacheproxy/faulttest/FakeProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -73,12 +73,12 @@
         endpoints = scenario.targetSelector();
         scope = DiscoveryScope.of(scenario);
         lag = EventLoopLag.of(loop);
-        ledger.observe(write -> history.add(lag.currentLagUs(), "origin", Event.WRITE_APPLIED, write, "", 0));
+        ledger.setObserver(write -> history.add(lag.currentLagUs(), "origin", Event.WRITE_APPLIED, write, "", 0));
         origin = FakeOrigin.start(loop, ledger);
         for (int i = 0; i < scenario.servers(); i++) {
             servers.add(startServer(TargetSelector.serverName(i)));
         }
-        origin.serves(servers);
+        origin.setNodes(servers);
         for (int i = 0; i < scope.count(scenario); i++) {
             discoveries.add(FakeDiscovery.start(loop));
             listedAddresses.add(serverAddressesFor(i));
@@ -93,9 +93,9 @@
 
     private FakeCacheServer startServer(String name) throws InterruptedException {
         return FakeCacheServer.start(loop, ledger)
-                .work(1000 / scenario.serverPerSecond())
-                .room(scenario.serverQueueLimit())
-                .observe(id ->
+                .setServiceTimeMs(1000 / scenario.serverPerSecond())
+                .queueCapacity(scenario.serverQueueLimit())
+                .setObserver(id ->
                         history.add(lag.currentLagUs(), name, Event.COMMAND_ARRIVED, id == null ? "" : id, "", 0));
     }
 
@@ -174,7 +174,7 @@
     /** Starts a killed server again at the same address, empty; discovery lists its start time. */
     void restart(int server) throws IOException {
         try {
-            servers.get(server).revive();
+            servers.get(server).restart();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
@@ -199,22 +199,22 @@
 
     /** The endpoint list as it is now, as the platform gives it to a proxy that starts. */
     JsonObject endpointList(int proxy) {
-        return discoveryOf(proxy).whole();
+        return discoveryOf(proxy).fullList();
     }
 
     /** Calls that discovery has had, watches among them. */
     int discoveryCalls() {
-        return discoveries.stream().mapToInt(FakeDiscovery::calls).sum();
+        return discoveries.stream().mapToInt(FakeDiscovery::requestCount).sum();
     }
 
     /** Watches that wait at discovery for a change. */
     int waitingWatches() {
-        return discoveries.stream().mapToInt(FakeDiscovery::waiting).sum();
+        return discoveries.stream().mapToInt(FakeDiscovery::pendingWatches).sum();
     }
 
     /** Health checks that servers have had: empty commands of proxies. */
     int healthChecks() {
-        return servers.stream().mapToInt(FakeCacheServer::tested).sum();
+        return servers.stream().mapToInt(FakeCacheServer::probes).sum();
     }
 
     /** The lag of the fakes' event loop. */
--- a/src/test/java/cacheproxy/AbandonedRequestIT.java
+++ b/src/test/java/cacheproxy/AbandonedRequestIT.java
@@ -32,12 +32,12 @@
         BlockingQueue<CountDownLatch> refusals = new LinkedBlockingQueue<>();
         BlockingQueue<String> refused = new LinkedBlockingQueue<>();
         ScriptedServer.Script refusing = connection -> {
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 CountDownLatch mayRefuse = new CountDownLatch(1);
                 refusals.add(mayRefuse);
-                arrivals.add(ScriptedServer.id(line));
+                arrivals.add(ScriptedServer.requestId(line));
                 mayRefuse.await();
-                connection.say("SERVER_ERROR busy\r\n");
+                connection.send("SERVER_ERROR busy\r\n");
                 refused.add("busy");
             }
         };
--- a/src/test/java/cacheproxy/DeadlinePropagationIT.java
+++ b/src/test/java/cacheproxy/DeadlinePropagationIT.java
@@ -59,7 +59,7 @@
     }
 
     private static String hit(String command) {
-        return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
+        return "VA 5 O" + ScriptedServer.requestId(command) + " h1\r\nhello\r\n";
     }
 
     private static void assertWithinTimeLeft(ReceivedDeadline received, long sentNanos) {
@@ -74,19 +74,19 @@
         BlockingQueue<ReceivedDeadline> origin = new LinkedBlockingQueue<>();
         try (ServeProcess proxy = new ServeProcess(folder)
                         .node(new ScriptedServer(connection -> {
-                            for (String line; (line = connection.command()) != null; ) {
+                            for (String line; (line = connection.readCommand()) != null; ) {
                                 delayResponse();
-                                connection.say("EN O" + ScriptedServer.id(line) + "\r\n");
+                                connection.send("EN O" + ScriptedServer.requestId(line) + "\r\n");
                             }
                         }))
                         .origin(new ScriptedServer(connection -> {
                             while (true) {
-                                String request = connection.request();
+                                String request = connection.readRequest();
                                 if (request == null) {
                                     return;
                                 }
                                 origin.add(receivedDeadline(request));
-                                connection.sayHttp(200, "", "hello");
+                                connection.sendHttp(200, "", "hello");
                             }
                         }))
                         .start();
@@ -101,14 +101,14 @@
     void aRetryCarriesTheTimeLeftAfterALateFailure() throws Exception {
         BlockingQueue<ReceivedDeadline> retries = new LinkedBlockingQueue<>();
         ScriptedServer.Script late = connection -> {
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 ReceivedDeadline received = receivedDeadline(line);
                 if (received.deadlineMs() > WAIT_MS - DELAY_MS) {
                     delayResponse();
-                    connection.say("SERVER_ERROR busy\r\n");
+                    connection.send("SERVER_ERROR busy\r\n");
                 } else {
                     retries.add(received);
-                    connection.say(hit(line));
+                    connection.send(hit(line));
                 }
             }
         };
--- a/src/test/java/cacheproxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/ServeProcess.java
@@ -45,7 +45,7 @@
         }
 
         String line() throws IOException {
-            return ScriptedServer.line(in);
+            return ScriptedServer.readLine(in);
         }
 
         @Override
--- a/src/test/java/cacheproxy/ci/CheckstyleSuppressionsTest.java
+++ b/src/test/java/cacheproxy/ci/CheckstyleSuppressionsTest.java
@@ -21,11 +21,11 @@
 
     @Test
     void exceptsNoMoreThanBefore() throws IOException {
-        int excepted = 0;
+        int exceptedChecks = 0;
         for (Entry entry : entries()) {
-            excepted += entry.checks().size();
+            exceptedChecks += entry.checks().size();
         }
-        assertThat(excepted).isLessThanOrEqualTo(MAX_EXCEPTED_CHECKS);
+        assertThat(exceptedChecks).isLessThanOrEqualTo(MAX_EXCEPTED_CHECKS);
     }
 
     @Test
--- a/src/test/java/cacheproxy/ci/KnownRed.java
+++ b/src/test/java/cacheproxy/ci/KnownRed.java
@@ -13,7 +13,7 @@
  * Passes over the tests that the file of the system property {@code known.red} names, as Class#method, and no others.
  */
 public final class KnownRed implements ExecutionCondition {
-    private final List<String> lines;
+    private final List<String> entries;
 
     /** By the system property; CI alone sets it. */
     public KnownRed() {
@@ -22,7 +22,7 @@
 
     KnownRed(String file) {
         try {
-            lines = file.isEmpty() ? List.of() : Files.readAllLines(Path.of(file));
+            entries = file.isEmpty() ? List.of() : Files.readAllLines(Path.of(file));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -31,15 +31,15 @@
     @Override
     public ConditionEvaluationResult evaluateExecutionCondition(ExtensionContext context) {
         return context.getTestMethod()
-                .map(m -> evaluate(m.getDeclaringClass().getSimpleName(), m.getName()))
+                .map(method -> evaluate(method.getDeclaringClass().getSimpleName(), method.getName()))
                 .orElseGet(() -> ConditionEvaluationResult.enabled("no method"));
     }
 
     ConditionEvaluationResult evaluate(String testClass, String method) {
-        return lines.stream()
-                .filter(l -> l.startsWith(testClass + "#" + method + ","))
+        return entries.stream()
+                .filter(entry -> entry.startsWith(testClass + "#" + method + ","))
                 .findFirst()
-                .map(l -> ConditionEvaluationResult.disabled("known red: " + l))
+                .map(entry -> ConditionEvaluationResult.disabled("known red: " + entry))
                 .orElseGet(() -> ConditionEvaluationResult.enabled("not known red"));
     }
 }
--- a/src/test/java/cacheproxy/ci/KnownRedTest.java
+++ b/src/test/java/cacheproxy/ci/KnownRedTest.java
@@ -12,44 +12,44 @@
 
 /** What CI passes over: the tests of the list, while it holds, and nothing else. */
 class KnownRedTest {
-    private static final String HERE = "KnownRedTest#aListThatDoesNotHoldFailsTheRun, a made-up cause "
+    private static final String ENTRY = "KnownRedTest#aListThatDoesNotHoldFailsTheRun, a made-up cause "
             + "(bash .ci/run; seed 7; 1 of 9 runs), issue 1\n";
 
     @TempDir
     Path folder;
 
-    private record Check(int code, String said) {}
+    private record Check(int code, String output) {}
 
     private Check check(String list) throws Exception {
         Path file = folder.resolve("KNOWN-RED.txt");
         if (list != null) {
             Files.writeString(file, list);
         }
-        Process p = new ProcessBuilder("bash", ".ci/known-red", file.toString())
+        Process process = new ProcessBuilder("bash", ".ci/known-red", file.toString())
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Check(p.waitFor(), said);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        return new Check(process.waitFor(), output);
     }
 
     @Test
-    void withoutAListOrWithAnEmptyOneNothingIsPassedOver() throws Exception {
+    void skipsNothingWithoutListOrWithEmptyList() throws Exception {
         assertThat(check(null)).isEqualTo(new Check(0, ""));
         assertThat(check("")).isEqualTo(new Check(0, ""));
     }
 
     @Test
-    void whatIsPassedOverIsPrinted() throws Exception {
-        assertThat(check(HERE)).isEqualTo(new Check(0, "passed over, known red: " + HERE));
+    void printsSkippedTests() throws Exception {
+        assertThat(check(ENTRY)).isEqualTo(new Check(0, "passed over, known red: " + ENTRY));
     }
 
     @Test
     void aListThatDoesNotHoldFailsTheRun() throws Exception {
-        assertThat(check(HERE.replace("aListThatDoesNotHoldFailsTheRun", "noSuchTest"))
-                        .said())
+        assertThat(check(ENTRY.replace("aListThatDoesNotHoldFailsTheRun", "noSuchTest"))
+                        .output())
                 .contains("there is no test KnownRedTest#noSuchTest");
-        assertThat(check(HERE.replace("KnownRedTest#", "NoSuchTest#")).code()).isNotZero();
-        assertThat(check("KnownRedTest\n").said()).contains("not of the form");
+        assertThat(check(ENTRY.replace("KnownRedTest#", "NoSuchTest#")).code()).isNotZero();
+        assertThat(check("KnownRedTest\n").output()).contains("not of the form");
         assertThat(check("KnownRedTest#aListThatDoesNotHoldFailsTheRun\n").code())
                 .isNotZero();
     }
@@ -57,19 +57,19 @@
     /** Guards against an entry that nobody can repeat or follow up. */
     @ParameterizedTest
     @ValueSource(strings = {" (bash .ci/run; seed 7; 1 of 9 runs)", "bash .ci/run; ", "seed 7; ", ", issue 1", " 1\n"})
-    void anEntryWithoutCommandSeedOrIssueFailsTheRun(String part) throws Exception {
-        assertThat(HERE).contains(part);
-        assertThat(check(HERE.replace(part, "")))
+    void entryWithoutCommandSeedOrIssueFailsTheRun(String part) throws Exception {
+        assertThat(ENTRY).contains(part);
+        assertThat(check(ENTRY.replace(part, "")))
                 .satisfies(checked -> assertThat(checked.code()).isNotZero())
-                .extracting(Check::said)
+                .extracting(Check::output)
                 .asString()
                 .contains("not of the form");
-        assertThat(check(HERE + HERE.replace(part, "")).code()).isNotZero();
+        assertThat(check(ENTRY + ENTRY.replace(part, "")).code()).isNotZero();
     }
 
     @Test
-    void onlyTheTestsOfTheListAreNotRun() throws Exception {
-        check(HERE);
+    void skipsOnlyListedTests() throws Exception {
+        check(ENTRY);
         KnownRed red = new KnownRed(folder.resolve("KNOWN-RED.txt").toString());
         assertThat(red.evaluate("KnownRedTest", "aListThatDoesNotHoldFailsTheRun")
                         .isDisabled())
--- a/src/test/java/cacheproxy/daemon/DaemonHarness.java
+++ b/src/test/java/cacheproxy/daemon/DaemonHarness.java
@@ -89,15 +89,15 @@
         daemon.load(DaemonConfigReader.parse("rig", file));
     }
 
-    LoadClient.Account sendRequests(int total, int connections, int depth, IntFunction<LoadClient.Ask> requests)
-            throws Exception {
+    LoadClient.LoadResult sendRequests(
+            int total, int connections, int depth, IntFunction<LoadClient.LoadRequest> requests) throws Exception {
         return new LoadClient(fleet.loop(), daemon.address("main"), total, requests)
                 .start(connections, depth)
                 .get(100, TimeUnit.SECONDS);
     }
 
-    public static LoadClient.Ask read(String key) {
-        return new LoadClient.Ask(key, "", null, null);
+    public static LoadClient.LoadRequest read(String key) {
+        return new LoadClient.LoadRequest(key, "", null, null);
     }
 
     public ManualClient connect() throws IOException {
--- a/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -97,7 +97,7 @@
                 String known = names.get(full);
                 if (known == null) {
                     ScriptedServer node = ScriptedServer.node(
-                            command -> value(full + " " + command.split(" ", 0)[1], ScriptedServer.id(command)));
+                            command -> value(full + " " + command.split(" ", 0)[1], ScriptedServer.requestId(command)));
                     nodes.add(node);
                     known = node.dial();
                     names.put(full, known);
--- a/src/test/java/cacheproxy/daemon/ListenersTest.java
+++ b/src/test/java/cacheproxy/daemon/ListenersTest.java
@@ -72,7 +72,7 @@
             assertThat(client.send("mg page/2 v\r\n").line())
                     .as("the connection is still usable")
                     .isEqualTo("VA 15");
-            assertThat(fleet.ledger.times("hi")).isEqualTo(1);
+            assertThat(fleet.ledger.effectCount("hi")).isEqualTo(1);
         }
     }
 
@@ -157,10 +157,10 @@
                 + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
         try (fleet;
                 ScriptedServer discovery = new ScriptedServer(connection -> {
-                    connection.request();
+                    connection.readRequest();
                     polled.countDown();
                     mayAnswer.await();
-                    connection.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
+                    connection.sendHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
                     connection.awaitEnd();
                 })) {
             int port = Ports.free();
--- a/src/test/java/cacheproxy/daemon/MemoryTest.java
+++ b/src/test/java/cacheproxy/daemon/MemoryTest.java
@@ -64,7 +64,7 @@
         return Daemon.start(DaemonConfigReader.parse("rig", text), 7);
     }
 
-    private LoadClient.Account sendRequests(Daemon daemon, int total, int from) throws Exception {
+    private LoadClient.LoadResult sendRequests(Daemon daemon, int total, int from) throws Exception {
         return new LoadClient(fleet.loop(), daemon.address("main"), total, i -> DaemonHarness.read("k/" + (from + i)))
                 .start(8, 2)
                 .get(100, TimeUnit.SECONDS);
@@ -79,25 +79,25 @@
     void sendsNothingToKnownSilentServerAfterRestart() throws Exception {
         try (fleet) {
             FakeCacheServer silentServer = fleet.nodes.get(1);
-            silentServer.mute(true);
+            silentServer.muted(true);
             int first;
             try (Daemon daemon = daemon(file(""))) {
-                assertThat(sendRequests(daemon, 400, 0).faults).isEmpty();
+                assertThat(sendRequests(daemon, 400, 0).errors).isEmpty();
                 first = silentServer.commands();
                 daemon.drain(); // writes the last snapshot
             }
             assertThat(first).as("requests until the silent server was ejected").isPositive();
             assertThat(readSnapshot().pools().get("a").learned().servers()).anyMatch(s -> s.failures() > 0);
             try (Daemon daemon = daemon(file(""))) {
-                LoadClient.Account a = sendRequests(daemon, 400, 1000);
-                assertThat(a.faults).isEmpty();
+                LoadClient.LoadResult a = sendRequests(daemon, 400, 1000);
+                assertThat(a.errors).isEmpty();
                 assertThat(a.answered()).isEqualTo(400);
             }
             assertThat(silentServer.commands()).as("requests after the restart").isEqualTo(first);
             Files.delete(folder.resolve("memory"));
             Files.deleteIfExists(folder.resolve("memory.old"));
             try (Daemon daemon = daemon(file(""))) {
-                assertThat(sendRequests(daemon, 400, 2000).faults).isEmpty();
+                assertThat(sendRequests(daemon, 400, 2000).errors).isEmpty();
             }
             assertThat(silentServer.commands())
                     .as("requests until it was ejected again, without the snapshot")
@@ -110,7 +110,7 @@
         try (fleet) {
             for (int i = 0; i < 3; i++) {
                 try (Daemon daemon = daemon(file("").replace("period_ms = 50", "period_ms = 3600000"))) {
-                    assertThat(sendRequests(daemon, 20, 0).faults).isEmpty();
+                    assertThat(sendRequests(daemon, 20, 0).errors).isEmpty();
                     daemon.drain();
                 }
                 assertThat(readSnapshot().generation()).isEqualTo(i + 1);
@@ -127,7 +127,7 @@
     void keepsSavingToSameFileAfterReloadAndAfterRejectedReload() throws Exception {
         try (fleet;
                 Daemon daemon = daemon(file(""))) {
-            assertThat(sendRequests(daemon, 40, 0).faults).isEmpty();
+            assertThat(sendRequests(daemon, 40, 0).errors).isEmpty();
             while (!Files.exists(folder.resolve("memory"))) {
                 Thread.onSpinWait();
             }
@@ -136,7 +136,7 @@
             assertThatThrownBy(() -> daemon.load(
                             DaemonConfigReader.parse("rig", file("keys = 8\n[control]\nlisten = \"192.0.2.1:9\"\n"))))
                     .hasMessageContaining("control can't be bound");
-            assertThat(sendRequests(daemon, 40, 100).faults).isEmpty();
+            assertThat(sendRequests(daemon, 40, 100).errors).isEmpty();
             daemon.drain();
             assertThat(readSnapshot().generation()).isGreaterThan(generation);
             assertThat(SnapshotStore.at(folder.resolve("memory")).read().notes())
@@ -178,8 +178,8 @@
     private int commandsSentTo(FakeCacheServer node, String text, Path seedFrom) throws Exception {
         int before = node.commands();
         try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("rig", text), 7, seedFrom, () -> true)) {
-            LoadClient.Account a = sendRequests(daemon, 400, 0);
-            assertThat(a.faults).isEmpty();
+            LoadClient.LoadResult a = sendRequests(daemon, 400, 0);
+            assertThat(a.errors).isEmpty();
             assertThat(a.answered()).isEqualTo(400);
         }
         return node.commands() - before;
@@ -251,8 +251,8 @@
                     0,
                     fleet.nodes.stream().mapToInt(MemoryTest::serverId).toArray());
             try (Daemon daemon = daemon(file(""))) {
-                LoadClient.Account a = sendRequests(daemon, 400, 0);
-                assertThat(a.faults).isEmpty();
+                LoadClient.LoadResult a = sendRequests(daemon, 400, 0);
+                assertThat(a.errors).isEmpty();
                 assertThat(a.answered()).isEqualTo(400);
                 assertThat(a.failed).isZero();
                 assertThat(a.served).isPositive();
@@ -266,8 +266,8 @@
         try (fleet) {
             try (Daemon first = daemon(file(""));
                     Daemon second = daemon("[site]\ninstances = 2\nme = 1\n" + file(""))) {
-                assertThat(sendRequests(first, 50, 0).faults).isEmpty();
-                assertThat(sendRequests(second, 50, 0).faults).isEmpty();
+                assertThat(sendRequests(first, 50, 0).errors).isEmpty();
+                assertThat(sendRequests(second, 50, 0).errors).isEmpty();
                 second.drain();
                 first.drain();
             }
@@ -280,13 +280,13 @@
     void reloadThatReplacesPoolHandsOverItsLearnedState() throws Exception {
         try (fleet) {
             FakeCacheServer silentServer = fleet.nodes.get(1);
-            silentServer.mute(true);
+            silentServer.muted(true);
             try (Daemon daemon = daemon(file(""))) {
-                assertThat(sendRequests(daemon, 400, 0).faults).isEmpty();
+                assertThat(sendRequests(daemon, 400, 0).errors).isEmpty();
                 int before = silentServer.commands();
                 assertThat(before).isPositive();
                 daemon.load(DaemonConfigReader.parse("rig", file("").replace("aim_ms = 300", "aim_ms = 301")));
-                assertThat(sendRequests(daemon, 400, 1000).faults).isEmpty();
+                assertThat(sendRequests(daemon, 400, 1000).errors).isEmpty();
                 assertThat(silentServer.commands()).isEqualTo(before);
             }
         }
@@ -312,16 +312,16 @@
                         // a file was added or removed meanwhile: try again
                     }
                 }
-                assertThat(sendRequests(daemon, 100, 0).faults).isEmpty();
+                assertThat(sendRequests(daemon, 100, 0).errors).isEmpty();
                 Files.createDirectory(gone);
-                assertThat(sendRequests(daemon, 100, 100).faults).isEmpty();
+                assertThat(sendRequests(daemon, 100, 100).errors).isEmpty();
                 awaitFile(gone.resolve("memory"));
             }
             String missing = file("").replace(
                             folder.resolve("memory").toString(),
                             folder.resolve("never/memory").toString());
             try (Daemon daemon = daemon(missing)) {
-                assertThat(sendRequests(daemon, 100, 0).faults).isEmpty();
+                assertThat(sendRequests(daemon, 100, 0).errors).isEmpty();
                 daemon.drain();
             }
             assertThat(Files.exists(folder.resolve("never"))).isFalse();
@@ -347,7 +347,7 @@
                 fleet) {
             FakeCacheServer cold = listed.nodes.get(0);
             SlowStartMonitor slowStart = new SlowStartMonitor(100, 0.3, 20_000, 300);
-            cold.watch(slowStart);
+            cold.slowStartMonitor(slowStart);
             listed.restart(0);
             // The snapshot has all servers but two as ejected, which is its limit, and the cold one as the best, by its
             // earlier start.
@@ -374,14 +374,14 @@
                                                     new LearnedHotKeys(1e9, List.of())),
                                             Map.of())),
                             List.of(new ServerStart(1, cold.dial(), 1, false))));
-            String text = Demo.file(listed)
+            String text = Demo.configText(listed)
                     .replace(
                             "warm_up_ms = 2000",
                             "warm_up_ms = 20000\nfall_ms = 300\n[limits]\n"
                                     + "unknown_capacity = 100\n[memory]\npath = \"" + folder.resolve("memory")
                                     + "\"\nperiod_ms = 50");
             try (Daemon daemon = daemon(text)) {
-                for (int round = 0; round == 0 || slowStart.sent() < 30; round++) {
+                for (int round = 0; round == 0 || slowStart.requestsWhileCold() < 30; round++) {
                     int from = round * 2000;
                     assertThat(new LoadClient(
                                             listed.loop(),
@@ -390,11 +390,11 @@
                                             i -> DaemonHarness.read("k/" + (from + i)))
                                     .start(8, 4)
                                     .get(100, TimeUnit.SECONDS)
-                                    .faults)
+                                    .errors)
                             .isEmpty();
                 }
             }
-            assertThat(slowStart.worst()).isLessThan(3);
+            assertThat(slowStart.worstOverload()).isLessThan(3);
         }
     }
 
@@ -408,15 +408,15 @@
             String text = "[site]\nwarm_up_ms = 3600000\n" + file("").replace(LIMITS, DaemonHarness.LIMITS);
             try (Daemon daemon = daemon(text)) {
                 node.kill();
-                assertThat(sendRequests(daemon, 400, 0).faults).isEmpty();
+                assertThat(sendRequests(daemon, 400, 0).errors).isEmpty();
                 daemon.drain();
             }
             assertThat(readSnapshot().serverStarts()).anyMatch(b -> b.id() == serverId(node) && b.down());
-            node.revive();
+            node.restart();
             try (Daemon daemon = daemon(text)) {
                 while (readSnapshot().serverStarts().stream()
                         .noneMatch(b -> b.id() == serverId(node) && b.startMs() > 0)) {
-                    assertThat(sendRequests(daemon, 100, 0).faults).isEmpty();
+                    assertThat(sendRequests(daemon, 100, 0).errors).isEmpty();
                 }
                 daemon.drain();
             }
--- a/src/test/java/cacheproxy/daemon/PoolsTest.java
+++ b/src/test/java/cacheproxy/daemon/PoolsTest.java
@@ -5,7 +5,7 @@
 import cacheproxy.fakes.FakeCacheServer;
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.LoadClient.LoadRequest;
 import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.fakes.SlowStartMonitor;
 import org.junit.jupiter.api.Test;
@@ -17,8 +17,8 @@
     private static final String SHORT =
             DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000");
 
-    private static Ask read(int index) {
-        return new Ask("k/" + index, "c=page", null, null);
+    private static LoadRequest read(int index) {
+        return new LoadRequest("k/" + index, "c=page", null, null);
     }
 
     @Test
@@ -26,7 +26,7 @@
         FakeFleet fleet = new FakeFleet(3);
         FakeCacheServer shared = fleet.nodes.get(0);
         SlowStartMonitor slowStart = new SlowStartMonitor(100, 0.3, 20000, 300);
-        shared.watch(slowStart);
+        shared.slowStartMonitor(slowStart);
         String pools = DaemonHarness.pool("a", fleet, "", fleet.nodes.get(1))
                 + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(2));
         String server = DaemonHarness.servers("capacity = 100", shared);
@@ -42,17 +42,19 @@
             shared.kill();
             // Both pools detect that it is down.
             harness.sendRequests(400, 4, 2, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + i));
-            shared.revive();
-            LoadClient.Account account = null;
-            for (int round = 0; round == 0 || slowStart.sent() < 60; round++) {
+            shared.restart();
+            LoadClient.LoadResult account = null;
+            for (int round = 0; round == 0 || slowStart.requestsWhileCold() < 60; round++) {
                 int from = round * 2000;
                 account = harness.sendRequests(
                         2000, 8, 4, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + (from + i)));
-                assertThat(account.faults).isEmpty();
+                assertThat(account.errors).isEmpty();
             }
-            assertThat(slowStart.sent()).as("requests to the cold server").isGreaterThanOrEqualTo(60);
+            assertThat(slowStart.requestsWhileCold())
+                    .as("requests to the cold server")
+                    .isGreaterThanOrEqualTo(60);
             // A few requests are sent in addition, before its first connection shows that it has restarted.
-            assertThat(slowStart.worst()).isLessThan(3);
+            assertThat(slowStart.worstOverload()).isLessThan(3);
         }
     }
 
@@ -62,27 +64,27 @@
         FakeCacheServer first = fleet.nodes.get(0);
         FakeCacheServer spare = fleet.nodes.get(1);
         SlowStartMonitor slowStart = new SlowStartMonitor(200, 0.3, 20000, 300);
-        spare.watch(slowStart);
+        spare.slowStartMonitor(slowStart);
         String head = SITE
                 + DaemonHarness.CLASSES
                 + DaemonHarness.MAIN_LISTENER
                 + DaemonHarness.poolWithoutOrigin("a", "", first);
         try (DaemonHarness harness = new DaemonHarness(fleet, head + DaemonHarness.route("all", "", "a"))) {
             // The spare pool is added by a reload, so that its server is regarded as new.
-            slowStart.born(System.nanoTime() / 1e6);
+            slowStart.recordStart(System.nanoTime() / 1e6);
             harness.load(head
                     + DaemonHarness.poolWithoutOrigin("spare", "", spare).replace("dial", "capacity = 200\ndial")
                     + DaemonHarness.route("all", "", "a", "spare"));
             first.kill();
-            LoadClient.Account account = harness.sendRequests(3000, 8, 4, PoolsTest::read);
-            assertThat(account.faults).isEmpty();
-            assertThat(account.missing)
+            LoadClient.LoadResult account = harness.sendRequests(3000, 8, 4, PoolsTest::read);
+            assertThat(account.errors).isEmpty();
+            assertThat(account.missed)
                     .as("answered by the spare server, which has none of the keys")
                     .isPositive();
             assertThat(account.refused).isPositive();
-            assertThat(account.refusedWithoutTime).isZero();
+            assertThat(account.refusedWithoutRetryAfter).isZero();
             assertThat(account.failed).isZero();
-            assertThat(slowStart.worst()).isLessThan(3);
+            assertThat(slowStart.worstOverload()).isLessThan(3);
         }
     }
 
@@ -98,7 +100,7 @@
                                 + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(1))
                                 + DaemonHarness.route("all", "", "a", "b"));
                 DaemonHarness.ManualClient client = harness.connect()) {
-            fleet.nodes.get(0).mute(true);
+            fleet.nodes.get(0).muted(true);
             assertThat(client.send("mg k v\r\n").lines(2)).containsExactly("VA 10", "value of k");
             assertThat(fleet.nodes.get(0).commands()).isPositive();
         }
@@ -115,7 +117,7 @@
                                 + DaemonHarness.poolWithoutOrigin("b", "", fleet.nodes.get(1))
                                 + DaemonHarness.route("all", "", "a", "b"));
                 DaemonHarness.ManualClient client = harness.connect()) {
-            fleet.nodes.get(0).mute(true);
+            fleet.nodes.get(0).muted(true);
             assertThat(client.send("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("SERVER_ERROR failed");
             assertThat(fleet.nodes.get(0).commands()).isEqualTo(1);
             assertThat(fleet.nodes.get(1).commands()).isZero();
@@ -135,7 +137,7 @@
                 DaemonHarness.ManualClient client = harness.connect()) {
             fleet.nodes.get(0).kill();
             assertThat(client.send("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("HD");
-            assertThat(fleet.ledger.times("hi")).isEqualTo(1);
+            assertThat(fleet.ledger.effectCount("hi")).isEqualTo(1);
         }
     }
 
@@ -144,8 +146,8 @@
         for (boolean sameGroup : new boolean[] {true, false}) {
             FakeFleet fleet = new FakeFleet(2);
             ScriptedServer resets = new ScriptedServer(connection -> {
-                connection.command();
-                connection.line();
+                connection.readCommand();
+                connection.readLine();
                 connection.reset();
             });
             String first =
@@ -167,7 +169,7 @@
                         .isEqualTo(sameGroup ? "HD" : "SERVER_ERROR failed");
                 assertThat(fleet.nodes.get(1).commands()).isEqualTo(sameGroup ? 1 : 0);
                 assertThat(client.send("ms k 2 Pc=submit\r\nno\r\n").line()).isEqualTo("SERVER_ERROR failed");
-                assertThat(fleet.ledger.times("no"))
+                assertThat(fleet.ledger.effectCount("no"))
                         .as("executions of the unsafe write")
                         .isZero();
             }
@@ -184,28 +186,28 @@
                         + DaemonHarness.poolWithoutOrigin("a", "retry_share = 0.1\nretries_always = 0", nodes)
                         + DaemonHarness.route("all", "", "a"))) {
             for (FakeCacheServer node : nodes) {
-                node.busy(Integer.MAX_VALUE);
+                node.rejectNext(Integer.MAX_VALUE);
             }
             int before = 0;
-            LoadClient.Account account = harness.sendRequests(2000, 4, 4, PoolsTest::read);
+            LoadClient.LoadResult account = harness.sendRequests(2000, 4, 4, PoolsTest::read);
             for (FakeCacheServer node : nodes) {
                 before += node.commands();
             }
             assertThat(account.refused).isEqualTo(2000);
-            assertThat(account.refusedWithoutTime).isZero();
+            assertThat(account.refusedWithoutRetryAfter).isZero();
             // At most one first attempt per request, a tenth of that in retries, and the ten retries that were saved
             // up.
             assertThat(before).isLessThanOrEqualTo(2000 + 200 + 10);
             for (FakeCacheServer node : nodes) {
-                node.busy(0);
+                node.rejectNext(0);
                 for (int i = 0; i < 200; i++) {
                     node.store("k/" + i, new byte[5]);
                 }
             }
-            LoadClient.Account again;
+            LoadClient.LoadResult again;
             do {
                 again = harness.sendRequests(200, 4, 1, PoolsTest::read);
-                assertThat(again.faults).isEmpty();
+                assertThat(again.errors).isEmpty();
             } while (again.served < 200);
         }
     }
@@ -221,20 +223,20 @@
                 fleet,
                 "[site]\nwarm_up_ms = 0\n" + DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
                         + pool + DaemonHarness.route("all", "", "a"))) {
-            assertThat(harness.sendRequests(300, 4, 2, PoolsTest::read).missing).isEqualTo(300);
+            assertThat(harness.sendRequests(300, 4, 2, PoolsTest::read).missed).isEqualTo(300);
             assertThat(backup.commands()).isZero();
             primary.kill();
-            LoadClient.Account account = harness.sendRequests(300, 4, 2, PoolsTest::read);
-            assertThat(account.faults).isEmpty();
+            LoadClient.LoadResult account = harness.sendRequests(300, 4, 2, PoolsTest::read);
+            assertThat(account.errors).isEmpty();
             assertThat(backup.commands()).isPositive();
-            primary.revive();
+            primary.restart();
             int seen = primary.commands();
             while (primary.commands() < seen + 50) { // it stays ejected for some time first
-                assertThat(harness.sendRequests(200, 4, 2, PoolsTest::read).faults)
+                assertThat(harness.sendRequests(200, 4, 2, PoolsTest::read).errors)
                         .isEmpty();
             }
             int spare = backup.commands();
-            assertThat(harness.sendRequests(100, 2, 1, PoolsTest::read).missing).isEqualTo(100);
+            assertThat(harness.sendRequests(100, 2, 1, PoolsTest::read).missed).isEqualTo(100);
             assertThat(backup.commands())
                     .as("requests to the backup after fail-back")
                     .isEqualTo(spare);
@@ -246,7 +248,7 @@
         FakeFleet fleet = new FakeFleet(3);
         FakeCacheServer spare = fleet.nodes.get(2);
         SlowStartMonitor slowStart = new SlowStartMonitor(200, 0.3, 20000, 300);
-        spare.watch(slowStart);
+        spare.slowStartMonitor(slowStart);
         String pool = DaemonHarness.poolWithoutOrigin(
                                 "a", "placement = \"nginx-hash\"", fleet.nodes.get(0), fleet.nodes.get(1))
                         .replace("dial =", "warm = true\ndial =")
@@ -258,22 +260,22 @@
                         + DaemonHarness.MAIN_LISTENER
                         + pool
                         + DaemonHarness.route("all", "", "a"))) {
-            slowStart.born(System.nanoTime() / 1e6);
-            assertThat(harness.sendRequests(500, 4, 2, PoolsTest::read).faults).isEmpty();
+            slowStart.recordStart(System.nanoTime() / 1e6);
+            assertThat(harness.sendRequests(500, 4, 2, PoolsTest::read).errors).isEmpty();
             assertThat(spare.commands()).isZero();
             int[] before = {fleet.nodes.get(0).commands(), fleet.nodes.get(1).commands()};
             fleet.nodes.get(0).kill();
             fleet.nodes.get(1).kill();
-            LoadClient.Account account = harness.sendRequests(3000, 8, 4, PoolsTest::read);
-            assertThat(account.faults).isEmpty();
-            assertThat(account.missing)
+            LoadClient.LoadResult account = harness.sendRequests(3000, 8, 4, PoolsTest::read);
+            assertThat(account.errors).isEmpty();
+            assertThat(account.missed)
                     .as("answered by the backup, which has none of the keys")
                     .isPositive();
             assertThat(account.refused).isPositive();
-            assertThat(account.refusedWithoutTime).isZero();
-            assertThat(slowStart.worst()).isLessThan(3);
-            fleet.nodes.get(0).revive();
-            fleet.nodes.get(1).revive();
+            assertThat(account.refusedWithoutRetryAfter).isZero();
+            assertThat(slowStart.worstOverload()).isLessThan(3);
+            fleet.nodes.get(0).restart();
+            fleet.nodes.get(1).restart();
             // Requests detect that they are back. Each is cold then, and gets its keys back within the slow start
             // budget.
             for (int round = 0;
@@ -281,10 +283,10 @@
                             || fleet.nodes.get(1).commands() < before[1] + 20;
                     round++) {
                 int from = 10_000 + round * 1000;
-                assertThat(harness.sendRequests(1000, 8, 4, i -> read(from + i)).faults)
+                assertThat(harness.sendRequests(1000, 8, 4, i -> read(from + i)).errors)
                         .isEmpty();
             }
-            assertThat(slowStart.worst()).isLessThan(3);
+            assertThat(slowStart.worstOverload()).isLessThan(3);
         }
     }
 
@@ -301,7 +303,7 @@
                 DaemonHarness.ManualClient first = harness.connect();
                 DaemonHarness.ManualClient second = harness.connect();
                 DaemonHarness.ManualClient third = harness.connect()) {
-            fleet.nodes.get(0).mute(true);
+            fleet.nodes.get(0).muted(true);
             first.send("mg k1 v\r\n");
             while (harness.daemon.pendingRequests() == 0) {
                 Thread.onSpinWait();
--- a/src/test/java/cacheproxy/daemon/ReloadTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadTest.java
@@ -8,7 +8,7 @@
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeOrigin;
 import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.LoadClient.LoadRequest;
 import java.net.ConnectException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -26,12 +26,12 @@
     @TempDir
     private Path folder;
 
-    private static Ask request(int index) {
+    private static LoadRequest request(int index) {
         String key = "page/" + index % 300;
         return switch (index % 10) {
-            case 0 -> new Ask("s/" + index, "c=submit", "submit-" + index, null);
-            case 1 -> new Ask("p/" + index, "c=publish,k=publish-" + index, "publish-" + index, null);
-            default -> new Ask(key, "c=page", null, FakeOrigin.value(key));
+            case 0 -> new LoadRequest("s/" + index, "c=submit", "submit-" + index, null);
+            case 1 -> new LoadRequest("p/" + index, "c=publish,k=publish-" + index, "publish-" + index, null);
+            default -> new LoadRequest(key, "c=page", null, FakeOrigin.value(key));
         };
     }
 
@@ -52,20 +52,20 @@
                     + DaemonHarness.route("all", "", version == 3 ? "b" : "a");
         }
         try (DaemonHarness harness = new DaemonHarness(fleet, files[0])) {
-            fleet.origin.work(2);
+            fleet.origin.setServiceTimeMs(2);
             int total = 30_000;
-            CompletableFuture<LoadClient.Account> load = new LoadClient(
+            CompletableFuture<LoadClient.LoadResult> load = new LoadClient(
                             fleet.loop(), harness.daemon.address("main"), total, ReloadTest::request)
                     .start(8, 4);
             int reloads = 0;
             while (reloads < 100 || !load.isDone()) {
                 harness.load(files[++reloads % files.length]);
             }
-            LoadClient.Account account = load.get(60, TimeUnit.SECONDS);
-            assertThat(account.faults).isEmpty();
+            LoadClient.LoadResult account = load.get(60, TimeUnit.SECONDS);
+            assertThat(account.errors).isEmpty();
             assertThat(account.answered()).isEqualTo(total);
-            assertThat(account.refusedWithoutTime).isZero();
-            assertThat(fleet.ledger.repeated()).isZero();
+            assertThat(account.refusedWithoutRetryAfter).isZero();
+            assertThat(fleet.ledger.repeatedEffects()).isZero();
             while (harness.daemon.pendingRequests() > 0 || harness.daemon.poolCount() > 2) {
                 Thread.onSpinWait(); // until removed pools have been stopped
             }
@@ -119,7 +119,7 @@
                 DaemonHarness.ManualClient busy = new DaemonHarness.ManualClient(harness.daemon.address("second"))) {
             InetSocketAddress second = harness.daemon.address("second");
             assertThat(idle.send("mn\r\n").line()).isEqualTo("MN");
-            fleet.origin.work(200);
+            fleet.origin.setServiceTimeMs(200);
             busy.send("mg slow v\r\n");
             while (harness.daemon.pendingRequests() == 0) {
                 Thread.onSpinWait();
@@ -147,7 +147,7 @@
                         fleet, head + DaemonHarness.pool("a", fleet, "", old) + DaemonHarness.route("all", "", "a"));
                 DaemonHarness.ManualClient client = harness.connect();
                 DaemonHarness.ManualClient later = harness.connect()) {
-            fleet.origin.work(300);
+            fleet.origin.setServiceTimeMs(300);
             client.send("mg k v\r\n");
             while (harness.daemon.pendingRequests() == 0) {
                 Thread.onSpinWait();
@@ -172,8 +172,8 @@
                                 + DaemonHarness.poolWithoutOrigin("a", "", node[0], node[1])
                                 + DaemonHarness.route("all", "", "a"));
                 DaemonHarness.ManualClient client = harness.connect()) {
-            node[0].mute(true);
-            node[1].mute(true);
+            node[0].muted(true);
+            node[1].muted(true);
             client.send("mg k v\r\n");
             while (node[0].commands() + node[1].commands() == 0) {
                 Thread.onSpinWait();
--- a/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
+++ b/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
@@ -9,7 +9,7 @@
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeOrigin;
 import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.LoadClient.LoadRequest;
 import cacheproxy.fakes.LossyDatagramLink;
 import cacheproxy.icp.IcpCodec;
 import cacheproxy.icp.IcpMessage;
@@ -85,18 +85,19 @@
             return this;
         }
 
-        CompletableFuture<LoadClient.Account> load(int total, int from) {
+        CompletableFuture<LoadClient.LoadResult> load(int total, int from) {
             return new LoadClient(
                             fleet.loop(),
                             daemon.address("main"),
                             total,
-                            i -> new Ask("k/" + (from + i), "c=page", null, FakeOrigin.value("k/" + (from + i))))
+                            i -> new LoadRequest(
+                                    "k/" + (from + i), "c=page", null, FakeOrigin.value("k/" + (from + i))))
                     .start(4, 2);
         }
 
-        LoadClient.Account sendRequests(int total, int from) throws Exception {
-            LoadClient.Account a = load(total, from).get(100, TimeUnit.SECONDS);
-            assertThat(a.faults).isEmpty();
+        LoadClient.LoadResult sendRequests(int total, int from) throws Exception {
+            LoadClient.LoadResult a = load(total, from).get(100, TimeUnit.SECONDS);
+            assertThat(a.errors).isEmpty();
             assertThat(a.answered()).isEqualTo(total);
             return a;
         }
@@ -133,11 +134,11 @@
         b.addSibling("a", a.icp, a.fetch);
         a.start();
         b.start();
-        a.fleet.origin.work(20);
+        a.fleet.origin.setServiceTimeMs(20);
         b.sendRequests(200, 0); // b's origin fills b's servers
         b.sendRequests(200, 0); // now b's servers answer, so b knows which keys they have
         int before = b.fleet.origin.fetches();
-        LoadClient.Account account = a.sendRequests(200, 0);
+        LoadClient.LoadResult account = a.sendRequests(200, 0);
         assertThat(account.failed).isZero();
         assertThat(account.served).isGreaterThan(100);
         assertThat(a.fleet.origin.fetches())
@@ -151,18 +152,18 @@
         Site a = new Site();
         Site b = new Site();
         LossyDatagramLink link = link(a, b, 0.5, 0.3, 5);
-        a.addSibling("b", link.towardsB(), b.fetch);
-        b.addSibling("a", link.towardsA(), a.fetch);
+        a.addSibling("b", link.aliasAddressOfB(), b.fetch);
+        b.addSibling("a", link.aliasAddressOfA(), a.fetch);
         a.start();
         b.start();
-        a.fleet.origin.work(20);
+        a.fleet.origin.setServiceTimeMs(20);
         b.sendRequests(300, 0);
         b.sendRequests(300, 0);
         assertThat(a.sendRequests(300, 0).served + a.sendRequests(300, 300).served)
                 .isPositive();
-        assertThat(link.passed()).isPositive();
+        assertThat(link.forwarded()).isPositive();
         assertThat(link.dropped()).isPositive();
-        assertThat(a.fleet.ledger.repeated()).isZero();
+        assertThat(a.fleet.ledger.repeatedEffects()).isZero();
     }
 
     @Test
@@ -175,22 +176,23 @@
                 }
             }
         }
-        List<CompletableFuture<LoadClient.Account>> loads = new ArrayList<>();
+        List<CompletableFuture<LoadClient.LoadResult>> loads = new ArrayList<>();
         for (Site s : sites) {
             s.start();
-            s.fleet.origin.work(300); // so that all sites query the key before any has it, even on a busy machine
+            s.fleet.origin.setServiceTimeMs(
+                    300); // so that all sites query the key before any has it, even on a busy machine
         }
         for (Site s : sites) {
             loads.add(new LoadClient(
                             s.fleet.loop(),
                             s.daemon.address("main"),
                             4,
-                            i -> new Ask("nobody", "c=page", null, FakeOrigin.value("nobody")))
+                            i -> new LoadRequest("nobody", "c=page", null, FakeOrigin.value("nobody")))
                     .start(4, 1)); // fewer than make the key hot: a hot key is spread over servers
         }
         for (int i = 0; i < 3; i++) {
-            LoadClient.Account a = loads.get(i).get(60, TimeUnit.SECONDS);
-            assertThat(a.faults).isEmpty();
+            LoadClient.LoadResult a = loads.get(i).get(60, TimeUnit.SECONDS);
+            assertThat(a.errors).isEmpty();
             assertThat(a.served).isEqualTo(4);
             assertThat(sites[i].fleet.origin.fetches()).isEqualTo(1);
         }
@@ -204,15 +206,15 @@
         b.addSibling("a", a.icp, a.fetch);
         a.start();
         b.start();
-        a.fleet.origin.work(5);
+        a.fleet.origin.setServiceTimeMs(5);
         b.sendRequests(200, 0);
         b.sendRequests(200, 0);
         for (FakeCacheServer n : b.fleet.nodes) { // b reports hits for keys that are gone, without knowing it
             for (int i = 0; i < 200; i++) {
-                n.forget("k/" + i);
+                n.evict("k/" + i);
             }
         }
-        LoadClient.Account account = a.sendRequests(200, 0);
+        LoadClient.LoadResult account = a.sendRequests(200, 0);
         assertThat(account.failed).isZero();
         assertThat(account.served + account.refused).isEqualTo(200);
         assertThat(account.served).isPositive();
@@ -260,7 +262,7 @@
             }
             b.sendRequests(100, 100); // b detects that they are down
             for (FakeCacheServer n : b.fleet.nodes) {
-                n.revive();
+                n.restart();
             }
             int served = 0;
             for (int round = 0; served == 0; round++) { // until b has used both again
@@ -337,8 +339,8 @@
         a.addSibling("liar", (InetSocketAddress) icp.getLocalSocketAddress(), (InetSocketAddress)
                 fetches.getLocalSocketAddress());
         a.start();
-        a.fleet.origin.work(20);
-        LoadClient.Account account = a.sendRequests(300, 0); // the load client checks each value
+        a.fleet.origin.setServiceTimeMs(20);
+        LoadClient.LoadResult account = a.sendRequests(300, 0); // the load client checks each value
         assertThat(account.failed).isZero();
         assertThat(account.served).isPositive();
         assertThat(fetchCount.get()).as("fetches from the scripted sibling").isPositive();
@@ -355,7 +357,7 @@
         b.sendRequests(200, 0);
         b.sendRequests(200, 0);
         a.fleet.origin.close();
-        LoadClient.Account account = a.sendRequests(200, 0);
+        LoadClient.LoadResult account = a.sendRequests(200, 0);
         assertThat(account.served).isGreaterThan(100);
     }
 
@@ -367,16 +369,17 @@
         b.addSibling("a", a.icp, a.fetch);
         a.start();
         b.start();
-        LoadClient.Account writes = new LoadClient(
+        LoadClient.LoadResult writes = new LoadClient(
                         a.fleet.loop(),
                         a.daemon.address("main"),
                         100,
-                        i -> new Ask("k/" + i, i % 2 == 0 ? "c=submit" : "c=publish,k=p" + i, "mark-" + i, null))
+                        i -> new LoadRequest(
+                                "k/" + i, i % 2 == 0 ? "c=submit" : "c=publish,k=p" + i, "mark-" + i, null))
                 .start(4, 2)
                 .get(60, TimeUnit.SECONDS);
-        assertThat(writes.faults).isEmpty();
+        assertThat(writes.errors).isEmpty();
         assertThat(writes.served).isEqualTo(100);
-        assertThat(a.fleet.ledger.repeated()).isZero();
+        assertThat(a.fleet.ledger.repeatedEffects()).isZero();
         assertThat(b.fleet.nodes).allMatch(n -> n.commands() == 0);
         assertThat(b.fleet.origin.fetches()).isZero();
         try (DaemonHarness.ManualClient client = new DaemonHarness.ManualClient(b.daemon.address("siblings"))) {
@@ -410,8 +413,11 @@
             assertThat(query(sibling, b, "http://coralbay/" + "k".repeat(300)).opcode())
                     .isEqualTo(Opcode.MISS);
             // A write invalidates what is known about a key.
-            LoadClient.Account writes = new LoadClient(
-                            b.fleet.loop(), b.daemon.address("main"), 1, i -> new Ask("k/1", "c=submit", "m", null))
+            LoadClient.LoadResult writes = new LoadClient(
+                            b.fleet.loop(),
+                            b.daemon.address("main"),
+                            1,
+                            i -> new LoadRequest("k/1", "c=submit", "m", null))
                     .start(1, 1)
                     .get(60, TimeUnit.SECONDS);
             assertThat(writes.served).isEqualTo(1);
--- a/src/test/java/cacheproxy/daemon/fleet/DelegatedWatchesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/DelegatedWatchesTest.java
@@ -28,9 +28,9 @@
                 + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
         int port = Ports.free();
         try (ScriptedServer discovery = new ScriptedServer(connection -> {
-                    if (connection.request().contains("since=0&")) {
-                        connection.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
-                        connection.request();
+                    if (connection.readRequest().contains("since=0&")) {
+                        connection.sendHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
+                        connection.readRequest();
                     }
                     connection.awaitEnd();
                 });
--- a/src/test/java/cacheproxy/daemon/fleet/FleetHealthChecksTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetHealthChecksTest.java
@@ -51,7 +51,7 @@
                     }
                 }
             } catch (SocketTimeoutException e) {
-                assertThat(silentServer.tested())
+                assertThat(silentServer.probes())
                         .as("checks while the request is pending")
                         .isZero();
             }
@@ -76,18 +76,18 @@
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, loopback())) {
             String two = fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort());
-            silentServer.mute(true);
+            silentServer.muted(true);
             try (Daemon daemon = Daemon.start(
                     DaemonConfigReader.parse(
                             "f", fileWithShortTimeouts(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")),
                     5)) {
                 awaitHealthCheckRequest(daemon, silentServer, peer);
-                silentServer.mute(false);
+                silentServer.muted(false);
                 daemon.load(DaemonConfigReader.parse(
                         "f",
                         fileWithShortTimeouts(two.replace("longest_lease_ms = 150", "longest_lease_ms = 160")
                                 + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")));
-                while (silentServer.tested() == 0) {
+                while (silentServer.probes() == 0) {
                     Thread.onSpinWait();
                 }
                 assertThat(call(daemon, "GET /fleet"))
@@ -95,13 +95,13 @@
                         .contains("\"trials\":{\"own\":0")
                         .contains("\"p2\":\"unknown\"");
             }
-            int before = silentServer.tested();
-            silentServer.mute(true);
+            int before = silentServer.probes();
+            silentServer.muted(true);
             try (Daemon daemon = Daemon.start(
                     DaemonConfigReader.parse(
                             "f", fileWithShortTimeouts(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 300\n")),
                     5)) {
-                for (int from = 0; silentServer.tested() == before; from += 20) {
+                for (int from = 0; silentServer.probes() == before; from += 20) {
                     int first = from;
                     new LoadClient(
                                     fleet.loop(),
@@ -127,7 +127,7 @@
         FakeCacheServer silentServer = fleet.nodes.get(1);
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, loopback())) {
-            silentServer.mute(true);
+            silentServer.muted(true);
             try (Daemon daemon = Daemon.start(
                     DaemonConfigReader.parse(
                             "f",
@@ -141,7 +141,7 @@
                 assertThat(silentServer.commands())
                         .as("while the request is pending")
                         .isEqualTo(commandsBefore);
-                silentServer.mute(false);
+                silentServer.muted(false);
                 byte[] healthy = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1")))
                         .seal(
                                 NameHash.of("p1"),
@@ -160,7 +160,7 @@
                 while (silentServer.commands() == commandsBefore) {
                     sendRequests(daemon, 20);
                 }
-                assertThat(silentServer.tested()).as("checks by empty commands").isZero();
+                assertThat(silentServer.probes()).as("checks by empty commands").isZero();
                 assertThat(call(daemon, "GET /fleet")).contains("\"by_word\":1");
             }
         }
--- a/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
+++ b/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
@@ -8,7 +8,7 @@
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeOrigin;
 import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.LoadClient.LoadRequest;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
@@ -41,13 +41,13 @@
                 + DaemonHarness.route("all", "", "a");
     }
 
-    private static Ask request(int index) {
+    private static LoadRequest request(int index) {
         String key = "page/" + index % 100;
         return index % 4 == 0
-                ? new Ask("s/" + index, "c=submit", "submit-" + index, null)
+                ? new LoadRequest("s/" + index, "c=submit", "submit-" + index, null)
                 : index % 4 == 1
-                        ? new Ask("p/" + index, "c=publish,k=publish-" + index, "publish-" + index, null)
-                        : new Ask(key, "c=page", null, null);
+                        ? new LoadRequest("p/" + index, "c=publish,k=publish-" + index, "publish-" + index, null)
+                        : new LoadRequest(key, "c=page", null, null);
     }
 
     @ParameterizedTest
@@ -98,24 +98,24 @@
         try (DaemonHarness harness =
                 new DaemonHarness(fleet, file(fleet, hook(HOSTILE_HOOKS.resolve(name + ".wasm"), keys)))) {
             int total = 400;
-            CompletableFuture<LoadClient.Account> hostile = new LoadClient(
+            CompletableFuture<LoadClient.LoadResult> hostile = new LoadClient(
                             fleet.loop(), harness.daemon.address("hostile"), total, HooksTest::request)
                     .start(4, 8);
-            CompletableFuture<LoadClient.Account> normal = new LoadClient(
+            CompletableFuture<LoadClient.LoadResult> normal = new LoadClient(
                             fleet.loop(),
                             harness.daemon.address("main"),
                             total,
-                            i -> new Ask("n/" + i, "c=page", null, FakeOrigin.value("n/" + i)))
+                            i -> new LoadRequest("n/" + i, "c=page", null, FakeOrigin.value("n/" + i)))
                     .start(4, 4);
-            LoadClient.Account normalAccount = normal.get(100, TimeUnit.SECONDS);
-            assertThat(normalAccount.faults).isEmpty();
+            LoadClient.LoadResult normalAccount = normal.get(100, TimeUnit.SECONDS);
+            assertThat(normalAccount.errors).isEmpty();
             assertThat(normalAccount.answered()).isEqualTo(total);
             assertThat(normalAccount.failed).isZero();
-            LoadClient.Account hostileAccount = hostile.get(100, TimeUnit.SECONDS);
-            assertThat(hostileAccount.faults).isEmpty();
+            LoadClient.LoadResult hostileAccount = hostile.get(100, TimeUnit.SECONDS);
+            assertThat(hostileAccount.errors).isEmpty();
             assertThat(hostileAccount.answered()).isEqualTo(total);
-            assertThat(hostileAccount.refusedWithoutTime).isZero();
-            assertThat(fleet.ledger.repeated()).isZero();
+            assertThat(hostileAccount.refusedWithoutRetryAfter).isZero();
+            assertThat(fleet.ledger.repeatedEffects()).isZero();
             while (harness.daemon.pendingRequests() > 0) {
                 Thread.onSpinWait();
             }
@@ -204,15 +204,15 @@
         };
         try (DaemonHarness harness = new DaemonHarness(fleet, files[0])) {
             int total = 8000;
-            CompletableFuture<LoadClient.Account> load =
+            CompletableFuture<LoadClient.LoadResult> load =
                     new LoadClient(fleet.loop(), harness.daemon.address("main"), total, HooksTest::request).start(4, 8);
             for (int i = 1; i <= 40 || !load.isDone(); i++) {
                 harness.load(files[i % files.length]);
             }
-            LoadClient.Account account = load.get(100, TimeUnit.SECONDS);
-            assertThat(account.faults).isEmpty();
+            LoadClient.LoadResult account = load.get(100, TimeUnit.SECONDS);
+            assertThat(account.errors).isEmpty();
             assertThat(account.answered()).isEqualTo(total);
-            assertThat(fleet.ledger.repeated()).isZero();
+            assertThat(fleet.ledger.repeatedEffects()).isZero();
         }
     }
 }
--- a/src/test/java/cacheproxy/faulttest/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -137,8 +137,8 @@
     void holdsCutConnectionOpenUntilFaultEndsAndResetsConnection() throws Exception {
         try (TcpRelay relay = new TcpRelay(loop, links);
                 ScriptedServer server = new ScriptedServer(connection -> {
-                    for (String line; (line = connection.line()) != null; ) {
-                        connection.say("heard " + line + "\n");
+                    for (String line; (line = connection.readLine()) != null; ) {
+                        connection.send("heard " + line + "\n");
                     }
                 })) {
             InetSocketAddress relayAddress = space.relayAddress(0, AddressSpace.FIRST_SERVER_PORT);
@@ -150,7 +150,7 @@
             try (Socket socket = new Socket(relayAddress.getAddress(), relayAddress.getPort())) {
                 socket.setSoTimeout(READ_TIMEOUT_MS);
                 socket.getOutputStream().write("1\n".getBytes(UTF_8));
-                assertThat(ScriptedServer.line(socket.getInputStream())).isEqualTo("heard 1");
+                assertThat(ScriptedServer.readLine(socket.getInputStream())).isEqualTo("heard 1");
                 Fault cut = fault(List.of("p1"), List.of("n1"), true, LinkFault.CUT);
                 runOnLoop(() -> {
                     links.begin(cut);
@@ -164,7 +164,7 @@
                     links.end(cut);
                     relay.linksChanged();
                 });
-                assertThat(ScriptedServer.line(socket.getInputStream())).isEqualTo("heard 2");
+                assertThat(ScriptedServer.readLine(socket.getInputStream())).isEqualTo("heard 2");
                 runOnLoop(() -> {
                     links.begin(fault(List.of("p1"), List.of("n1"), true, new LinkFault(0, 0, 0, 0, 0, true)));
                     relay.linksChanged();
--- a/src/test/java/cacheproxy/golden/GoldenFiles.java
+++ b/src/test/java/cacheproxy/golden/GoldenFiles.java
@@ -31,10 +31,10 @@
     }
 
     /** Names of the files of a directory that end so, in order. */
-    public static List<String> names(Path directory, String end) throws IOException {
+    public static List<String> names(Path directory, String suffix) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             return files.map(file -> file.getFileName().toString())
-                    .filter(name -> name.endsWith(end))
+                    .filter(name -> name.endsWith(suffix))
                     .sorted()
                     .toList();
         }
--- a/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
@@ -140,7 +140,7 @@
         NginxReferenceModel model = new NginxReferenceModel(ConfParser.parse("n", text.replace(" weight=0", " down")));
         int kept = 0;
         for (int i = 0; i < 1000; i++) {
-            String node = model.ask("*:80", "GET", "", "/" + i).node();
+            String node = model.respond("*:80", "GET", "", "/" + i).node();
             if (node.startsWith("10.")) {
                 assertThat(explanation(config, "/" + i, false)).endsWith("server=" + node);
                 kept++;
--- a/src/test/java/cacheproxy/nginx/importer/LocationImportTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/LocationImportTest.java
@@ -78,7 +78,7 @@
         int forwarded = 0;
         for (int i = 0; i < KEYS_PER_TREE; i++) {
             String key = randomPath(random) + randomPath(random).substring(1);
-            NginxReferenceModel.Answer answer = model.ask("*:80", "GET", "", key);
+            NginxReferenceModel.Answer answer = model.respond("*:80", "GET", "", key);
             String imported = explanation(config, key);
             if (answer.status() != 0) {
                 assertThat(imported).as(text + key).contains("answer=failed");
--- a/src/test/java/cacheproxy/proxy/BackloggedServer.java
+++ b/src/test/java/cacheproxy/proxy/BackloggedServer.java
@@ -62,7 +62,7 @@
     /** Reads the head of an HTTP request. */
     static String readRequestHead(ScriptedServer.Connection connection) throws IOException {
         StringBuilder text = new StringBuilder();
-        for (String line = connection.line(); !line.isEmpty(); line = connection.line()) {
+        for (String line = connection.readLine(); !line.isEmpty(); line = connection.readLine()) {
             text.append(line).append('\n');
         }
         return text.toString();
--- a/src/test/java/cacheproxy/proxy/CacheResponses.java
+++ b/src/test/java/cacheproxy/proxy/CacheResponses.java
@@ -8,6 +8,6 @@
 
     /** A hit with a value of five bytes. */
     static String hit(String command) {
-        return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
+        return "VA 5 O" + ScriptedServer.requestId(command) + " h1\r\nhello\r\n";
     }
 }
--- a/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
@@ -31,10 +31,10 @@
                 ScriptedServer.Connection accepted = node.acceptNext();
                 try (Fleet.Client other = fleet.client()) {
                     other.read("stays");
-                    assertThat(ScriptedServer.id(accepted.line()))
+                    assertThat(ScriptedServer.requestId(accepted.readLine()))
                             .as("may cancel: " + mayCancel)
                             .isEqualTo("stays");
-                    accepted.say(CacheResponses.hit("mg 1 v Ostays"));
+                    accepted.send(CacheResponses.hit("mg 1 v Ostays"));
                     assertThat(other.line()).isEqualTo("VA 5 Ostays");
                 }
             }
@@ -51,25 +51,25 @@
                 Fleet.Client turn = fleet.client()) {
             Fleet.Client leaves = fleet.client();
             leaves.read("leaves");
-            node.next();
+            node.awaitCommand();
             stays.read("stays");
-            node.next();
+            node.awaitCommand();
             turn.send("mg 1 v Oturn Pc=text,d=20000\r\n")
                     .line(); // both misses have been read by now, as responses arrive in order
             leaves.close();
             fleet.awaitPendingRequests(1);
             ScriptedServer.Connection accepted = origin.acceptNext();
-            assertThat(ScriptedServer.id(BackloggedServer.readRequestHead(accepted)))
+            assertThat(ScriptedServer.requestId(BackloggedServer.readRequestHead(accepted)))
                     .isEqualTo("stays");
-            accepted.sayHttp(200, "", "fetch");
+            accepted.sendHttp(200, "", "fetch");
             assertThat(stays.line()).isEqualTo("VA 5 Ostays");
         }
     }
 
     private static ScriptedServer missesAllBut(String id) throws IOException {
-        return ScriptedServer.node(line -> ScriptedServer.id(line).equals(id)
+        return ScriptedServer.node(line -> ScriptedServer.requestId(line).equals(id)
                 ? CacheResponses.hit(line)
-                : "EN O" + ScriptedServer.id(line) + " h0\r\n");
+                : "EN O" + ScriptedServer.requestId(line) + " h0\r\n");
     }
 
     private static Fleet fleetOf(ScriptedServer node, String origin) throws Exception {
@@ -83,9 +83,9 @@
     void endsCoalescedFetchAtItsOwnDeadlineAfterLeaderDisconnects() throws Exception {
         ScriptedServer node = missesAllBut("turn");
         ScriptedServer origin = new ScriptedServer(connection -> {
-            for (String head; (head = connection.request()) != null; ) {
-                if (ScriptedServer.id(head).equals("stays")) {
-                    connection.sayHttp(200, "", "fetch");
+            for (String head; (head = connection.readRequest()) != null; ) {
+                if (ScriptedServer.requestId(head).equals("stays")) {
+                    connection.sendHttp(200, "", "fetch");
                 }
             }
         });
@@ -94,13 +94,13 @@
                 Fleet.Client turn = fleet.client()) {
             Fleet.Client leaves = fleet.client();
             leaves.send("mg 7f3a9c21e0b4d655 v Oleaves Pc=text,d=1000\r\n");
-            assertThat(ScriptedServer.id(origin.next())).isEqualTo("leaves");
+            assertThat(ScriptedServer.requestId(origin.awaitCommand())).isEqualTo("leaves");
             stays.read("stays");
-            node.next();
-            node.next();
+            node.awaitCommand();
+            node.awaitCommand();
             turn.send("mg 1 v Oturn Pc=text,d=20000\r\n").line();
             leaves.close();
-            assertThat(ScriptedServer.id(origin.next())).isEqualTo("stays");
+            assertThat(ScriptedServer.requestId(origin.awaitCommand())).isEqualTo("stays");
             assertThat(stays.line()).isEqualTo("VA 5 Ostays");
         }
     }
@@ -112,8 +112,8 @@
             AtomicInteger connections = new AtomicInteger();
             ScriptedServer node = new ScriptedServer(connection -> {
                 int number = connections.incrementAndGet();
-                for (String line; (line = connection.command()) != null; ) {
-                    connection.say("VA 1 O" + ScriptedServer.id(line) + " h1\r\n" + number + "\r\n");
+                for (String line; (line = connection.readCommand()) != null; ) {
+                    connection.send("VA 1 O" + ScriptedServer.requestId(line) + " h1\r\n" + number + "\r\n");
                 }
             });
             try (Fleet fleet = new Fleet().node(node).start();
@@ -149,7 +149,7 @@
     void noticesDisconnectionOfClientWhoseInputIsPaused() throws Exception {
         AtomicInteger asked = new AtomicInteger();
         ScriptedServer node = new ScriptedServer(connection -> {
-            while (connection.command() != null) {
+            while (connection.readCommand() != null) {
                 asked.incrementAndGet();
             }
         });
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -21,9 +21,9 @@
     void answersPendingRequestBeforeClosingItsConnection() throws Exception {
         CountDownLatch resume = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            String line = connection.command();
+            String line = connection.readCommand();
             resume.await();
-            connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+            connection.send("VA 5 O" + ScriptedServer.requestId(line) + " h1\r\nhello\r\n");
             connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -34,7 +34,7 @@
             half.send("mn\r\nm");
             assertThat(half.line()).isEqualTo("MN");
             busy.read("1");
-            node.next();
+            node.awaitCommand();
             Thread drain = new Thread(fleet.proxy::drain);
             drain.start();
             assertThat(idle.ended()).isTrue();
@@ -82,7 +82,7 @@
     void closesConnectionThatAlwaysHasRequestPending() throws Exception {
         BlockingQueue<Runnable> pendingResponses = new LinkedBlockingQueue<>();
         ScriptedServer node = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 String answer = CacheResponses.hit(line);
                 pendingResponses.add(() -> sayQuietly(connection, answer));
                 if (pendingResponses.size() > 1) {
@@ -118,7 +118,7 @@
 
     private static void sayQuietly(ScriptedServer.Connection connection, String text) {
         try {
-            connection.say(text);
+            connection.send(text);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
@@ -79,12 +79,12 @@
 
     private ScriptedServer node() throws Exception {
         return new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
-                if (ScriptedServer.id(line).equals("held")) {
+            for (String line; (line = connection.readCommand()) != null; ) {
+                if (ScriptedServer.requestId(line).equals("held")) {
                     releaseAnswer.await();
                 }
-                connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
-                if (ScriptedServer.id(line).equals("last")) {
+                connection.send("VA 5 O" + ScriptedServer.requestId(line) + " h1\r\nhello\r\n");
+                if (ScriptedServer.requestId(line).equals("last")) {
                     return;
                 }
             }
@@ -154,11 +154,11 @@
     void callsToDiscoveryAndAReload() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         ScriptedServer discovery = new ScriptedServer(connection -> {
-            while (connection.request() != null) {
+            while (connection.readRequest() != null) {
                 switch (calls.getAndIncrement()) {
-                    case 0 -> connection.sayHttp(503, "", "");
+                    case 0 -> connection.sendHttp(503, "", "");
                     case 1 ->
-                        connection.sayHttp(
+                        connection.sendHttp(
                                 200, "", Fleet.list(43, true, new JsonArray()).toString());
                     default -> connection.awaitEnd();
                 }
--- a/src/test/java/cacheproxy/proxy/EventOrderTest.java
+++ b/src/test/java/cacheproxy/proxy/EventOrderTest.java
@@ -22,12 +22,12 @@
     void rejectsRequestAtOnceWhenLateResponseHasNoValue() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            String line = connection.command();
+            String line = connection.readCommand();
             late.await();
-            connection.say("EN O" + ScriptedServer.id(line) + " h0\r\n");
+            connection.send("EN O" + ScriptedServer.requestId(line) + " h0\r\n");
             connection.awaitEnd();
         });
-        ScriptedServer origin = new ScriptedServer(ScriptedServer.Connection::request);
+        ScriptedServer origin = new ScriptedServer(ScriptedServer.Connection::readRequest);
         try (Fleet fleet = new Fleet()
                         .node(node)
                         .origin(origin)
@@ -39,7 +39,7 @@
                 Fleet.Client client = fleet.client()) {
             client.socket.setSoTimeout(15_000); // its deadline is 20 s
             client.read("1");
-            node.next();
+            node.awaitCommand();
             CountDownLatch over = new CountDownLatch(1);
             fleet.proxy.runAfter(150, over::countDown);
             over.await();
@@ -54,10 +54,10 @@
      */
     @Test
     void doesNotServeStalledBodyOfUnknownLength() throws Exception {
-        ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
+        ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.requestId(line) + " h0\r\n");
         ScriptedServer origin = new ScriptedServer(connection -> {
-            connection.request();
-            connection.say("HTTP/1.1 200 X\r\n\r\nhal");
+            connection.readRequest();
+            connection.send("HTTP/1.1 200 X\r\n\r\nhal");
             connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
@@ -90,7 +90,7 @@
                     if (letIn) { // the retry's connection is established all the same
                         try (Fleet.Client other = fleet.client()) {
                             other.send("ms 7f3b 5 O2 Pc=fix,d=20000\r\nhello\r\n");
-                            assertThat(ScriptedServer.id(BackloggedServer.readRequestHead(origin.acceptNext())))
+                            assertThat(ScriptedServer.requestId(BackloggedServer.readRequestHead(origin.acceptNext())))
                                     .isEqualTo("2");
                         }
                     }
@@ -105,8 +105,8 @@
         AtomicInteger connections = new AtomicInteger();
         ScriptedServer origin = new ScriptedServer(connection -> {
             int number = connections.incrementAndGet();
-            while (connection.request() != null) {
-                connection.sayHttp(200, "", "c" + number);
+            while (connection.readRequest() != null) {
+                connection.sendHttp(200, "", "c" + number);
             }
         });
         try (Fleet fleet = new Fleet()
@@ -130,10 +130,10 @@
         CountDownLatch answer = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            String line = connection.command();
-            if (ScriptedServer.id(line).equals("b0")) {
+            String line = connection.readCommand();
+            if (ScriptedServer.requestId(line).equals("b0")) {
                 answer.await();
-                connection.say(CacheResponses.hit(line));
+                connection.send(CacheResponses.hit(line));
                 answered.countDown();
             }
             connection.awaitEnd();
@@ -184,15 +184,15 @@
         AtomicInteger connections = new AtomicInteger();
         ScriptedServer origin = new ScriptedServer(connection -> {
             if (connections.incrementAndGet() == 1) {
-                connection.request();
+                connection.readRequest();
                 answer.await();
-                connection.sayHttp(200, "", "first");
+                connection.sendHttp(200, "", "first");
                 answered.countDown();
-                connection.request();
-                connection.sayHttp(200, "", "first");
+                connection.readRequest();
+                connection.sendHttp(200, "", "first");
             } else {
-                connection.request();
-                connection.sayHttp(200, "", "second");
+                connection.readRequest();
+                connection.sendHttp(200, "", "second");
             }
             connection.awaitEnd();
         });
@@ -201,7 +201,7 @@
                 Fleet.Client two = fleet.client()) {
             assertThat(two.send("mn\r\n").line()).isEqualTo("MN");
             one.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
-            origin.next();
+            origin.awaitCommand();
             CountDownLatch resume = fleet.holdEventLoop();
             answer.countDown();
             answered.await();
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -230,7 +230,7 @@
 
         /** The next line without its line end; null at the end of the stream. */
         public String line() throws IOException {
-            return ScriptedServer.line(in);
+            return ScriptedServer.readLine(in);
         }
 
         public byte[] bytes(int n) throws IOException {
--- a/src/test/java/cacheproxy/proxy/SitesTest.java
+++ b/src/test/java/cacheproxy/proxy/SitesTest.java
@@ -40,10 +40,11 @@
     void servesEachClassOfASiteForEachOfItsTenants(Path path) throws Exception {
         TomlParseResult site = Toml.parse(path);
         assertThat(site.errors()).as(path.toString()).isEmpty();
-        ScriptedServer node = ScriptedServer.node(line -> "VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+        ScriptedServer node =
+                ScriptedServer.node(line -> "VA 5 O" + ScriptedServer.requestId(line) + " h1\r\nhello\r\n");
         ScriptedServer origin = new ScriptedServer(c -> {
-            while (c.request() != null) {
-                c.sayHttp(200, "", "receipt");
+            while (c.readRequest() != null) {
+                c.sendHttp(200, "", "receipt");
             }
         });
         try (Fleet fleet = new Fleet().settings(settings(site)).node(node).origin(origin)) {
--- a/src/test/java/cacheproxy/proxy/ValueStreamingTest.java
+++ b/src/test/java/cacheproxy/proxy/ValueStreamingTest.java
@@ -26,16 +26,16 @@
     }
 
     private static void head(ScriptedServer.Connection connection, String command) throws IOException {
-        connection.say("VA " + VALUE.length + " O" + ScriptedServer.id(command) + " h1\r\n");
+        connection.send("VA " + VALUE.length + " O" + ScriptedServer.requestId(command) + " h1\r\n");
     }
 
     @Test
     void passesLongCacheValueAndResponseAfterIt() throws Exception {
         ScriptedServer node = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 head(connection, line);
                 connection.out.write(VALUE);
-                connection.say("\r\n");
+                connection.send("\r\n");
             }
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -52,13 +52,13 @@
     @Test
     void passesLongOriginValue() throws Exception {
         ScriptedServer origin = new ScriptedServer(connection -> {
-            connection.request();
-            connection.say("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
+            connection.readRequest();
+            connection.send("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
             connection.out.write(VALUE);
             connection.out.flush();
             connection.awaitEnd();
         });
-        ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
+        ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.requestId(line) + " h0\r\n");
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
@@ -71,12 +71,12 @@
     void passesFirstBytesBeforeLastBytesArrive() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            head(connection, connection.command());
+            head(connection, connection.readCommand());
             connection.out.write(VALUE, 0, 1000);
             connection.out.flush();
             seen.await();
             connection.out.write(VALUE, 1000, VALUE.length - 1000);
-            connection.say("\r\n");
+            connection.send("\r\n");
             connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -94,13 +94,13 @@
         CountDownLatch over = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
             connection.socket.setSendBufferSize(64 << 10);
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 head(connection, line);
                 for (int at = 0; at < VALUE.length; at += 1 << 14) {
                     connection.out.write(VALUE, at, 1 << 14);
                     sent.addAndGet(1 << 14);
                 }
-                connection.say("\r\n");
+                connection.send("\r\n");
             }
             over.countDown();
         });
@@ -129,7 +129,7 @@
     @Test
     void closesOnlyItsClientsConnectionWhenLongValueBreaksOff() throws Exception {
         ScriptedServer node = new ScriptedServer(connection -> {
-            head(connection, connection.command());
+            head(connection, connection.readCommand());
             connection.out.write(VALUE, 0, 100_000);
             connection.out.flush();
         });
@@ -146,7 +146,7 @@
     void freesServerConnectionWhenClientDisconnectsDuringValue() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            head(connection, connection.command());
+            head(connection, connection.readCommand());
             connection.out.write(VALUE, 0, 100_000);
             connection.out.flush();
             connection.awaitEnd();
@@ -161,7 +161,7 @@
     }
 
     private static ScriptedServer missing() throws IOException {
-        return ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
+        return ScriptedServer.node(line -> "EN O" + ScriptedServer.requestId(line) + " h0\r\n");
     }
 
     /**
@@ -170,8 +170,8 @@
      */
     private static ScriptedServer endsByClosing(int length) throws IOException {
         return new ScriptedServer(connection -> {
-            connection.request();
-            connection.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+            connection.readRequest();
+            connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
             connection.out.write(VALUE, 0, length);
             connection.out.flush();
             connection.socket.shutdownOutput();
@@ -203,16 +203,16 @@
     void servesChunkedValueInPiecesOfAnySizeWithItsLength() throws Exception {
         ScriptedServer origin = new ScriptedServer(connection -> {
             Random random = new Random(3);
-            for (String head; (head = connection.request()) != null; ) {
-                connection.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            for (String head; (head = connection.readRequest()) != null; ) {
+                connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 for (int at = 0, length; at < 300_000; at += length) {
                     length = Math.min(
                             300_000 - at, random.nextInt(3) == 0 ? 1 + random.nextInt(9) : 1 + random.nextInt(40_000));
-                    connection.say(Integer.toHexString(length) + "\r\n");
+                    connection.send(Integer.toHexString(length) + "\r\n");
                     connection.out.write(VALUE, at, length);
-                    connection.say("\r\n");
+                    connection.send("\r\n");
                 }
-                connection.say("0\r\n\r\n");
+                connection.send("0\r\n\r\n");
             }
         });
         try (Fleet fleet = new Fleet().node(missing()).origin(origin).start();
@@ -230,8 +230,8 @@
     void doesNotServeValueOfUnknownLengthWhenConnectionIsReset() throws Exception {
         for (int length : new int[] {1000, 200_000}) {
             ScriptedServer origin = new ScriptedServer(connection -> {
-                connection.request();
-                connection.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+                connection.readRequest();
+                connection.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
                 connection.out.write(VALUE, 0, length);
                 connection.out.flush();
                 connection.socket.setSoLinger(true, 0);
@@ -300,15 +300,15 @@
     void doesNotCutOffLongValueWhoseHeadArrivesInPieces() throws Exception {
         CountDownLatch resume = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            String id = ScriptedServer.id(connection.command());
-            connection.say("VA " + VALUE.length);
+            String id = ScriptedServer.requestId(connection.readCommand());
+            connection.send("VA " + VALUE.length);
             connection.out.flush();
-            connection.say(" O" + id + " h1\r\n");
+            connection.send(" O" + id + " h1\r\n");
             connection.out.write(VALUE, 0, 1000);
             connection.out.flush();
             resume.await();
             connection.out.write(VALUE, 1000, VALUE.length - 1000);
-            connection.say("\r\n");
+            connection.send("\r\n");
             connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
--- a/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
@@ -20,7 +20,7 @@
 /** Tests how the proxy handles the behaviour of clients, on loopback sockets. */
 class ClientConnectionTest {
     private static String hitResponse(String command) {
-        return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
+        return "VA 5 O" + ScriptedServer.requestId(command) + " h1\r\nhello\r\n";
     }
 
     @Test
@@ -73,11 +73,11 @@
     void holdsBackSecondResponseUntilFirstIsWritten() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            String line = connection.command();
-            if (ScriptedServer.id(line).equals("1")) {
+            String line = connection.readCommand();
+            if (ScriptedServer.requestId(line).equals("1")) {
                 second.await();
             }
-            connection.say(hitResponse(line));
+            connection.send(hitResponse(line));
             second.countDown();
             connection.awaitEnd();
         });
@@ -97,11 +97,11 @@
                 Fleet.Client client = fleet.client()) {
             client.send("mg 7f3a v Oab12 Pc=text,t=acme,d=20000,r=1 q\r\n");
             client.line();
-            assertThat(node.next()).matches("mg 7f3a v Oab12 Pc=text,t=acme,d=(20000|1\\d{4}),r=1 q");
+            assertThat(node.awaitCommand()).matches("mg 7f3a v Oab12 Pc=text,t=acme,d=(20000|1\\d{4}),r=1 q");
             client.line();
             client.send("mg 7f3a v Oab13 Pc=text,r=1 q\r\n"); // no deadline: gets the default of its class
             client.line();
-            assertThat(node.next()).matches("mg 7f3a v Oab13 Pc=text,r=1,d=(30000|2\\d{4}) q");
+            assertThat(node.awaitCommand()).matches("mg 7f3a v Oab13 Pc=text,r=1,d=(30000|2\\d{4}) q");
         }
     }
 
@@ -110,8 +110,8 @@
         byte[] value = new byte[MetaCodec.MAX_VALUE_BYTES];
         new Random(1).nextBytes(value);
         ScriptedServer origin = new ScriptedServer(connection -> {
-            connection.request();
-            connection.sayHttp(200, "", "r1");
+            connection.readRequest();
+            connection.sendHttp(200, "", "r1");
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
@@ -119,7 +119,7 @@
                     .send(value)
                     .send("\r\n");
             assertThat(client.line()).isEqualTo("HD O9 cr1");
-            String request = origin.next();
+            String request = origin.awaitCommand();
             assertThat(request).startsWith("PUT /7f3a HTTP/1.1\n").containsIgnoringCase("req-id: 9\n");
             // The deadline is the time left when the request is forwarded: always less than the client's deadline,
             // because the transfer of the value has used up a part of it.
@@ -163,11 +163,11 @@
     void closesClientThatStopsWithinLaterCommandAfterPendingResponses() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            String first = connection.command();
-            connection.say(hitResponse(first));
-            String second = connection.command();
+            String first = connection.readCommand();
+            connection.send(hitResponse(first));
+            String second = connection.readCommand();
             stopped.await();
-            connection.say(hitResponse(second));
+            connection.send(hitResponse(second));
             connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -240,16 +240,16 @@
     void rejectsIdOfOpenRequestUntilItsResponse() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 release.await();
-                connection.say(hitResponse(line));
+                connection.send(hitResponse(line));
             }
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client();
                 Fleet.Client other = fleet.client()) {
             client.read("1");
-            node.next();
+            node.awaitCommand();
             other.send("mg 7f3b v O1 Pc=text,d=20000\r\nms 7f3b 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(other.line()).startsWith("CLIENT_ERROR");
             assertThat(other.line()).startsWith("CLIENT_ERROR");
@@ -284,8 +284,8 @@
     @Test
     void rejectsUnprintableBytesWithoutOriginConnection() throws Exception {
         ScriptedServer origin = new ScriptedServer(connection -> {
-            while (connection.request() != null) {
-                connection.sayHttp(200, "", "r1");
+            while (connection.readRequest() != null) {
+                connection.sendHttp(200, "", "r1");
             }
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
@@ -306,9 +306,9 @@
     void evictsIdleConnectionForOneThatCameWhileAllWereBusy() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 release.await();
-                connection.say(hitResponse(line));
+                connection.send(hitResponse(line));
             }
         });
         Fleet setup = new Fleet().node(node);
@@ -336,14 +336,14 @@
     void cancelsAttemptsOfDisconnectedClient() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            connection.command();
+            connection.readCommand();
             connection.awaitEnd();
             ended.countDown();
         });
         try (Fleet fleet = new Fleet().node(node).start()) {
             Fleet.Client client = fleet.client();
             client.read("1");
-            node.next();
+            node.awaitCommand();
             client.close();
             assertThat(ended.await(20, TimeUnit.SECONDS)).isTrue();
         }
@@ -353,18 +353,18 @@
     @Timeout(60)
     void keepsNoStateOfCompletedRequests() throws Exception {
         ScriptedServer node = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
-                if (!ScriptedServer.id(line).equals("silent")) {
-                    connection.say(
-                            ScriptedServer.id(line).startsWith("m")
-                                    ? "EN O" + ScriptedServer.id(line) + " h0\r\n"
+            for (String line; (line = connection.readCommand()) != null; ) {
+                if (!ScriptedServer.requestId(line).equals("silent")) {
+                    connection.send(
+                            ScriptedServer.requestId(line).startsWith("m")
+                                    ? "EN O" + ScriptedServer.requestId(line) + " h0\r\n"
                                     : hitResponse(line));
                 }
             }
         });
         ScriptedServer origin = new ScriptedServer(connection -> {
-            while (connection.request() != null) {
-                connection.sayHttp(200, "", "fetch");
+            while (connection.readRequest() != null) {
+                connection.sendHttp(200, "", "fetch");
             }
         });
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
@@ -379,7 +379,7 @@
             }
             assertThat(fleet.proxy.pendingRequests()).isZero();
             client.read("silent");
-            while (!ScriptedServer.id(node.next()).equals("silent")) {
+            while (!ScriptedServer.requestId(node.awaitCommand()).equals("silent")) {
                 // skip the commands of the requests before
             }
             assertThat(fleet.proxy.pendingRequests()).isEqualTo(1);
@@ -392,8 +392,8 @@
 
     @Test
     void rejectsValueWithoutMemoryBeforeSendingIt() throws Exception {
-        ScriptedServer origin = new ScriptedServer(
-                connection -> connection.sayHttp(200, "", connection.request().substring(0, 3)));
+        ScriptedServer origin = new ScriptedServer(connection ->
+                connection.sendHttp(200, "", connection.readRequest().substring(0, 3)));
         Fleet setup = new Fleet().origin(origin);
         JsonObject limits = new JsonObject();
         limits.addProperty("memory_mb", 8);
@@ -406,7 +406,7 @@
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
             client.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O2 cPUT");
-            assertThat(ScriptedServer.id(origin.next())).isEqualTo("2");
+            assertThat(ScriptedServer.requestId(origin.awaitCommand())).isEqualTo("2");
         }
     }
 }
