--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -22,7 +22,7 @@
 /** Tests how the proxy handles the behaviour of discovery, on loopback sockets. */
 class DiscoveryClientTest {
     private static ScriptedServer serverWithHits() throws Exception {
-        return ScriptedServer.node(line -> "VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+        return ScriptedServer.node(line -> "VA 5 O" + ScriptedServer.requestId(line) + " h1\r\nhello\r\n");
     }
 
     /** A list of version 43 with this server only, as JSON text. */
@@ -61,19 +61,19 @@
         }; // the last one is older than the list held
         CountDownLatch all = new CountDownLatch(bad.length + 3);
         ScriptedServer discovery = new ScriptedServer(connection -> {
-            for (String request; (request = connection.request()) != null; ) {
+            for (String request; (request = connection.readRequest()) != null; ) {
                 int call = (int) (bad.length + 3 - all.getCount());
                 all.countDown();
                 if (call == 0) {
-                    connection.sayHttp(503, "", "");
+                    connection.sendHttp(503, "", "");
                 } else if (call == 1) {
                     connection.reset();
                 } else if (call == 2) {
-                    connection.say(
+                    connection.send(
                             "HTTP/1.1 200 X\r\nContent-Length: 1000\r\n\r\n{\"seq\":44,\"whole\":true,\"hosts\":[]}");
                     return; // cut off
                 } else if (call < bad.length + 3) {
-                    connection.sayHttp(200, "", bad[call - 3]);
+                    connection.sendHttp(200, "", bad[call - 3]);
                 } else {
                     connection.awaitEnd();
                 }
@@ -86,7 +86,7 @@
                 .set("guarantees.ask-within", "200.0")
                 .start()) {
             for (int i = 0; i < bad.length + 4; i++) {
-                assertThat(discovery.next()).contains("since=41&");
+                assertThat(discovery.awaitCommand()).contains("since=41&");
             }
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
         }
@@ -99,15 +99,15 @@
         CountDownLatch served = new CountDownLatch(1);
         CountDownLatch pollReceived = new CountDownLatch(1);
         ScriptedServer discovery = new ScriptedServer(connection -> {
-            connection.request();
-            connection.sayHttp(200, "", list(first, true));
-            connection.request();
+            connection.readRequest();
+            connection.sendHttp(200, "", list(first, true));
+            connection.readRequest();
             served.await();
             JsonArray changes = new JsonArray();
             changes.add(Fleet.host("s-0000beef", "node-fast", first.dial(), "draining"));
             changes.add(Fleet.host("s-0000cafe", "node-fast", second.dial(), "up"));
-            connection.sayHttp(200, "", Fleet.list(44, false, changes).toString());
-            connection.request();
+            connection.sendHttp(200, "", Fleet.list(44, false, changes).toString());
+            connection.readRequest();
             pollReceived.countDown();
             connection.awaitEnd();
         });
@@ -117,12 +117,12 @@
                 .start()) {
             fleet.closeables.add(first);
             fleet.closeables.add(second);
-            assertThat(discovery.next()).contains("since=41&");
-            assertThat(discovery.next()).contains("since=43&");
+            assertThat(discovery.awaitCommand()).contains("since=41&");
+            assertThat(discovery.awaitCommand()).contains("since=43&");
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
             assertThat(first.commands).hasSize(1);
             served.countDown();
-            assertThat(discovery.next()).contains("since=44&");
+            assertThat(discovery.awaitCommand()).contains("since=44&");
             pollReceived.await();
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
             assertThat(second.commands).hasSize(1);
@@ -138,10 +138,10 @@
         ScriptedServer successor = serverWithHits();
         CountDownLatch pollReceived = new CountDownLatch(1);
         ScriptedServer discovery = new ScriptedServer(connection -> {
-            connection.request();
+            connection.readRequest();
             if (pollReceived.getCount() == 0) {
-                connection.sayHttp(200, "", list(successor, true));
-                connection.request();
+                connection.sendHttp(200, "", list(successor, true));
+                connection.readRequest();
             }
             pollReceived.countDown();
             connection.awaitEnd();
@@ -154,10 +154,10 @@
                         .set("guarantees.ask-within", "200.0")
                         .start()) {
             fleet.closeables.add(successor);
-            assertThat(discovery.next()).contains("since=41&");
+            assertThat(discovery.awaitCommand()).contains("since=41&");
             assertThat(served(fleet)).startsWith("SERVER_ERROR busy"); // refused, and there is no origin
-            assertThat(discovery.next()).contains("since=41&");
-            assertThat(discovery.next()).contains("since=43&");
+            assertThat(discovery.awaitCommand()).contains("since=41&");
+            assertThat(discovery.awaitCommand()).contains("since=43&");
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
         }
     }
@@ -173,13 +173,13 @@
             ScriptedServer other = serverWithHits();
             CountDownLatch pollReceived = new CountDownLatch(1);
             ScriptedServer discovery = new ScriptedServer(connection -> {
-                connection.request();
+                connection.readRequest();
                 if (pollReceived.getCount() == 0) {
                     JsonArray changes = new JsonArray();
                     changes.add(Fleet.host("s-00000001", "node-fast", drained.dial(), "draining"));
                     changes.add(Fleet.host("s-0000cafe", "node-fast", other.dial(), "up"));
-                    connection.sayHttp(200, "", Fleet.list(42, false, changes).toString());
-                    connection.request();
+                    connection.sendHttp(200, "", Fleet.list(42, false, changes).toString());
+                    connection.readRequest();
                 }
                 pollReceived.countDown();
                 connection.awaitEnd();
@@ -191,14 +191,14 @@
                     .set("discovery", mode)
                     .start()) {
                 fleet.closeables.add(other);
-                String watch = discovery.next();
+                String watch = discovery.awaitCommand();
                 assertThat(watch).contains("since=41&");
                 String wait = watch.substring(watch.indexOf("timeout_ms=") + 11, watch.indexOf(" HTTP"));
                 assertThat(Integer.parseInt(wait))
                         .as("wait in ms of a poll that may get no response")
                         .isLessThan(6000 / 2);
-                assertThat(discovery.next()).as(mode).contains("since=41&timeout_ms=1 ");
-                assertThat(discovery.next()).as(mode).contains("since=42&");
+                assertThat(discovery.awaitCommand()).as(mode).contains("since=41&timeout_ms=1 ");
+                assertThat(discovery.awaitCommand()).as(mode).contains("since=42&");
                 assertThat(served(fleet)).isEqualTo("VA 5 O1");
                 assertThat(other.commands).hasSize(1);
             }
@@ -216,10 +216,10 @@
         hosts.add(Fleet.host("s-0000cafe", "node-fast", node.dial(), "up"));
         ScriptedServer discovery = new ScriptedServer(connection -> {
             for (int i = 0; i < 2; i++) {
-                connection.request();
-                connection.sayHttp(200, "", Fleet.list(7, true, hosts).toString());
+                connection.readRequest();
+                connection.sendHttp(200, "", Fleet.list(7, true, hosts).toString());
             }
-            connection.request();
+            connection.readRequest();
             connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet()
@@ -227,9 +227,9 @@
                 .set("caps.connect-timeout", "50.0")
                 .start()) {
             fleet.closeables.add(node);
-            assertThat(discovery.next()).contains("since=41&");
-            assertThat(discovery.next()).contains("since=0&timeout_ms=1 ");
-            assertThat(discovery.next()).contains("since=7&");
+            assertThat(discovery.awaitCommand()).contains("since=41&");
+            assertThat(discovery.awaitCommand()).contains("since=0&timeout_ms=1 ");
+            assertThat(discovery.awaitCommand()).contains("since=7&");
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
         }
     }
@@ -256,18 +256,18 @@
     void keepsWaitingPollWhenAnotherProxyIsServedFirst() throws Exception {
         CountDownLatch claimed = new CountDownLatch(1);
         ScriptedServer discovery = new ScriptedServer(connection -> {
-            connection.request();
+            connection.readRequest();
             claimed.await();
-            connection.sayHttp(200, "", Fleet.list(42, false, new JsonArray()).toString());
-            connection.request();
+            connection.sendHttp(200, "", Fleet.list(42, false, new JsonArray()).toString());
+            connection.readRequest();
             connection.awaitEnd();
         });
         try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             try (Fleet fleet = fleetWithPeer(discovery, other).start()) {
-                assertThat(discovery.next()).contains("since=41&timeout_ms=2800");
+                assertThat(discovery.awaitCommand()).contains("since=41&timeout_ms=2800");
                 other.send(new DatagramPacket(version(42), version(42).length, fleet.proxy.peerAddress()));
                 fleet.proxy.runAfter(500, claimed::countDown); // discovery serves this proxy some time after the other
-                assertThat(discovery.next()).contains("since=42&timeout_ms=2800");
+                assertThat(discovery.awaitCommand()).contains("since=42&timeout_ms=2800");
                 assertThat(served(fleet)).isEqualTo("VA 5 O1");
             }
         }
@@ -280,17 +280,17 @@
     @Test
     void replacesSilentLongPollWhenAnotherProxyHasNewerVersion() throws Exception {
         ScriptedServer discovery = new ScriptedServer(connection -> {
-            connection.request();
+            connection.readRequest();
             connection.awaitEnd();
         });
         try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             try (Fleet fleet = fleetWithPeer(discovery, other).start()) {
-                assertThat(discovery.next()).contains("since=41&");
+                assertThat(discovery.awaitCommand()).contains("since=41&");
                 SocketAddress to = fleet.proxy.peerAddress();
                 for (byte[] message : List.of(new byte[256], new byte[] {'V'}, version(41), version(40), version(42))) {
                     other.send(new DatagramPacket(message, message.length, to));
                 }
-                assertThat(discovery.next()).contains("since=41&");
+                assertThat(discovery.awaitCommand()).contains("since=41&");
                 assertThat(served(fleet)).isEqualTo("VA 5 O1");
             }
         }
@@ -301,13 +301,13 @@
         ScriptedServer node = serverWithHits();
         CountDownLatch announced = new CountDownLatch(1); // versions in quick succession are announced together
         ScriptedServer discovery = new ScriptedServer(connection -> {
-            connection.request();
-            connection.sayHttp(200, "", list(node, true));
-            connection.request();
-            connection.sayHttp(200, "", Fleet.list(43, false, new JsonArray()).toString());
-            connection.request();
+            connection.readRequest();
+            connection.sendHttp(200, "", list(node, true));
+            connection.readRequest();
+            connection.sendHttp(200, "", Fleet.list(43, false, new JsonArray()).toString());
+            connection.readRequest();
             announced.await();
-            connection.sayHttp(200, "", Fleet.list(44, false, new JsonArray()).toString());
+            connection.sendHttp(200, "", Fleet.list(44, false, new JsonArray()).toString());
             connection.awaitEnd();
         });
         try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
@@ -341,21 +341,21 @@
             CountDownLatch mayRespond = new CountDownLatch(1);
             CountDownLatch ended = new CountDownLatch(1);
             ScriptedServer old = new ScriptedServer(connection -> {
-                String line = connection.command();
+                String line = connection.readCommand();
                 mayRespond.await();
-                connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+                connection.send("VA 5 O" + ScriptedServer.requestId(line) + " h1\r\nhello\r\n");
                 connection.awaitEnd();
                 ended.countDown();
             });
             ScriptedServer moved = serverWithHits();
             CountDownLatch requestSent = new CountDownLatch(1);
             ScriptedServer discovery = new ScriptedServer(connection -> {
-                connection.request();
+                connection.readRequest();
                 requestSent.await();
                 JsonArray changes = new JsonArray();
                 changes.add(Fleet.host("s-00000001", "node-fast", moved.dial(), health));
-                connection.sayHttp(200, "", Fleet.list(42, false, changes).toString());
-                connection.request();
+                connection.sendHttp(200, "", Fleet.list(42, false, changes).toString());
+                connection.readRequest();
                 connection.awaitEnd();
             });
             try (Fleet fleet = new Fleet()
@@ -366,10 +366,10 @@
                     Fleet.Client client = fleet.client()) {
                 fleet.closeables.add(moved);
                 client.read("1");
-                old.next();
-                discovery.next();
+                old.awaitCommand();
+                discovery.awaitCommand();
                 requestSent.countDown();
-                discovery.next(); // the change has been applied
+                discovery.awaitCommand(); // the change has been applied
                 mayRespond.countDown();
                 assertThat(client.line()).isEqualTo("VA 5 O1");
                 client.line();
--- a/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
+++ b/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
@@ -36,9 +36,9 @@
     void standbyClosesIdleConnectionsAndLosesNoRequest() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 release.await();
-                connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+                connection.send("VA 5 O" + ScriptedServer.requestId(line) + " h1\r\nhello\r\n");
             }
         });
         try (Fleet fleet = fleet().node(node).start();
@@ -50,7 +50,7 @@
             half.send("mn\r\nm");
             assertThat(half.line()).isEqualTo("MN");
             busy.read("1");
-            node.next();
+            node.awaitCommand();
             assertThat(call(fleet, "POST /standby")).isEqualTo("200");
             assertThat(call(fleet, "GET /status")).isEqualTo("503");
             assertThat(idle.ended()).isTrue();
@@ -88,9 +88,10 @@
         byte[] value = new byte[MetaCodec.MAX_VALUE_BYTES];
         new Random(5).nextBytes(value);
         ScriptedServer node = new ScriptedServer(connection -> {
-            connection.say("VA " + value.length + " O" + ScriptedServer.id(connection.command()) + " h1\r\n");
+            connection.send(
+                    "VA " + value.length + " O" + ScriptedServer.requestId(connection.readCommand()) + " h1\r\n");
             connection.out.write(value);
-            connection.say("\r\n");
+            connection.send("\r\n");
             connection.awaitEnd();
         });
         try (Fleet fleet = fleet().node(node).start();
--- a/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
@@ -15,21 +15,21 @@
 /** Tests how the proxy handles the behaviour of cache servers and the origin, on loopback sockets. */
 class UpstreamTest {
     private static String hit(String command) {
-        return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
+        return "VA 5 O" + ScriptedServer.requestId(command) + " h1\r\nhello\r\n";
     }
 
     /** An origin that sends this response to every request. */
     private static ScriptedServer origin(int status, String headers, String body) throws Exception {
         return new ScriptedServer(connection -> {
-            while (connection.request() != null) {
-                connection.sayHttp(status, headers, body);
+            while (connection.readRequest() != null) {
+                connection.sendHttp(status, headers, body);
             }
         });
     }
 
     @Test
     void fetchesMissFromOrigin() throws Exception {
-        ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
+        ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.requestId(line) + " h0\r\n");
         try (Fleet fleet =
                         new Fleet().node(node).origin(origin(200, "", "master")).start();
                 Fleet.Client client = fleet.client()) {
@@ -83,8 +83,8 @@
      */
     private static ScriptedServer withoutCapacity(CountDownLatch seen) throws Exception {
         return new ScriptedServer(connection -> {
-            connection.command();
-            connection.say("SERVER_ERROR busy\r\n");
+            connection.readCommand();
+            connection.send("SERVER_ERROR busy\r\n");
             connection.socket.shutdownOutput();
             connection.awaitEnd();
             seen.countDown();
@@ -128,17 +128,17 @@
         CountDownLatch seen = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
         ScriptedServer healthy = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
-                if (!ScriptedServer.id(line).equals("long")) {
-                    connection.say(hit(line));
+            for (String line; (line = connection.readCommand()) != null; ) {
+                if (!ScriptedServer.requestId(line).equals("long")) {
+                    connection.send(hit(line));
                     continue;
                 }
-                connection.say("VA " + MetaCodec.MAX_VALUE_BYTES + " Olong h1\r\n");
+                connection.send("VA " + MetaCodec.MAX_VALUE_BYTES + " Olong h1\r\n");
                 connection.out.write(new byte[1000]);
                 connection.out.flush();
                 rest.await();
                 connection.out.write(new byte[MetaCodec.MAX_VALUE_BYTES - 1000]);
-                connection.say("\r\n");
+                connection.send("\r\n");
             }
         });
         try (Fleet fleet = new Fleet().node(withoutCapacity(seen)).node(healthy).start();
@@ -165,10 +165,10 @@
         CountDownLatch both = new CountDownLatch(2);
         CountDownLatch closed = new CountDownLatch(1);
         ScriptedServer healthy = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
+            for (String line; (line = connection.readCommand()) != null; ) {
                 both.countDown();
                 both.await();
-                connection.say(hit(line));
+                connection.send(hit(line));
             }
             closed.countDown();
         });
@@ -240,7 +240,7 @@
     @Test
     void neverRetriesUnsafeWriteWhoseLastByteWasWritten() throws Exception {
         ScriptedServer origin = new ScriptedServer(connection -> {
-            connection.request();
+            connection.readRequest();
             connection.reset();
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
@@ -259,8 +259,8 @@
         }) {
             CountDownLatch ended = new CountDownLatch(1);
             ScriptedServer node = new ScriptedServer(connection -> {
-                connection.command();
-                connection.say(garbage);
+                connection.readCommand();
+                connection.send(garbage);
                 connection.awaitEnd();
                 ended.countDown();
             });
@@ -283,8 +283,8 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nr1\r\nzz"
         }) {
             ScriptedServer broken = new ScriptedServer(connection -> {
-                connection.request();
-                connection.say(head + "\r\n\r\nr1");
+                connection.readRequest();
+                connection.send(head + "\r\n\r\nr1");
                 connection.awaitEnd();
             });
             try (Fleet fleet = new Fleet().origin(broken).start();
@@ -300,19 +300,19 @@
         CountDownLatch missed = new CountDownLatch(2);
         CountDownLatch mayRespond = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
-                connection.say("EN O" + ScriptedServer.id(line) + " h0\r\n");
+            for (String line; (line = connection.readCommand()) != null; ) {
+                connection.send("EN O" + ScriptedServer.requestId(line) + " h0\r\n");
                 missed.countDown();
             }
         });
         ScriptedServer origin = new ScriptedServer(connection -> {
-            connection.request();
+            connection.readRequest();
             if (mayRespond.getCount() > 0) {
                 mayRespond.await();
-                connection.say(
+                connection.send(
                         "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nwrong");
             } else {
-                connection.sayHttp(200, "", "right");
+                connection.sendHttp(200, "", "right");
             }
             connection.awaitEnd();
         });
@@ -320,7 +320,7 @@
                 Fleet.Client client = fleet.client();
                 Fleet.Client other = fleet.client()) {
             client.read("1");
-            origin.next();
+            origin.awaitCommand();
             other.read("2"); // waits for the pending fetch, and goes to the origin after that has failed
             missed.await();
             fleet.client().send("mn\r\n").line();
@@ -336,8 +336,8 @@
         java.util.concurrent.Semaphore closed =
                 new java.util.concurrent.Semaphore(0); // released released once for each connection
         ScriptedServer origin = new ScriptedServer(connection -> {
-            connection.request();
-            connection.sayHttp(200, "", "r1");
+            connection.readRequest();
+            connection.sendHttp(200, "", "r1");
             connection.socket.close();
             closed.release();
         });
@@ -357,22 +357,22 @@
         CountDownLatch mayRespond = new CountDownLatch(1);
         CountDownLatch never = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
-            for (String line; (line = connection.command()) != null; ) {
-                if (ScriptedServer.id(line).startsWith("held")) {
+            for (String line; (line = connection.readCommand()) != null; ) {
+                if (ScriptedServer.requestId(line).startsWith("held")) {
                     never.await();
-                } else if (ScriptedServer.id(line).equals("first")) {
+                } else if (ScriptedServer.requestId(line).equals("first")) {
                     mayRespond.await();
                 }
-                connection.say(hit(line));
+                connection.send(hit(line));
             }
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.read("first");
-            node.next();
+            node.awaitCommand();
             for (int i = 0; i < 3; i++) {
                 fleet.client().read("held" + i);
-                node.next();
+                node.awaitCommand();
             }
             assertThat(node.accepted).hasSize(4);
             mayRespond.countDown();
@@ -392,10 +392,10 @@
     void keepsOtherAttemptsOnConnectionOfAbandonedAttempt() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         ScriptedServer pipelined = new ScriptedServer(connection -> {
-            String first = connection.command();
-            String second = connection.command();
+            String first = connection.readCommand();
+            String second = connection.readCommand();
             gone.await();
-            connection.say(hit(first) + hit(second));
+            connection.send(hit(first) + hit(second));
             connection.awaitEnd();
         });
         Fleet setup = new Fleet().node(pipelined).set("balancers", "60");
@@ -403,9 +403,9 @@
                 Fleet.Client other = fleet.client()) {
             Fleet.Client leaving = fleet.client();
             leaving.send("mg 7f3a v Oa Pc=text,d=20000\r\n");
-            pipelined.next();
+            pipelined.awaitCommand();
             other.send("mg 7f3b v Ob Pc=text,d=20000\r\n");
-            pipelined.next();
+            pipelined.awaitCommand();
             leaving.close();
             fleet.client().send("mn\r\n").line();
             gone.countDown();
@@ -416,7 +416,7 @@
     @Test
     void keepsConnectionsWhenManyAttemptsAreAbandoned() throws Exception {
         ScriptedServer node = new ScriptedServer(connection -> {
-            while (connection.command() != null) {
+            while (connection.readCommand() != null) {
                 // never responds
             }
         });
@@ -425,7 +425,7 @@
             for (int i = 0; i < clients; i++) {
                 try (Fleet.Client client = fleet.client()) {
                     client.read("c" + i);
-                    node.next();
+                    node.awaitCommand();
                 }
             }
             // Ten closes are allowed at once and ten more each second; without that limit, nearly every abandoned
@@ -438,18 +438,18 @@
     void endsAttemptWhoseResponseStopsInItsMiddle() throws Exception {
         CountDownLatch ended = new CountDownLatch(2);
         ScriptedServer node = new ScriptedServer(connection -> {
-            connection.say("VA 5 O" + ScriptedServer.id(connection.command()) + " h1\r\nhel");
+            connection.send("VA 5 O" + ScriptedServer.requestId(connection.readCommand()) + " h1\r\nhel");
             connection.awaitEnd();
             ended.countDown();
         });
         ScriptedServer origin = new ScriptedServer(connection -> {
-            for (String request; (request = connection.request()) != null; ) {
+            for (String request; (request = connection.readRequest()) != null; ) {
                 if (request.startsWith("PUT")) {
-                    connection.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
+                    connection.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
                     connection.awaitEnd();
                     ended.countDown();
                 } else {
-                    connection.sayHttp(200, "", "fetch");
+                    connection.sendHttp(200, "", "fetch");
                 }
             }
         });
--- a/src/test/java/cacheproxy/soak/ProxyFaults.java
+++ b/src/test/java/cacheproxy/soak/ProxyFaults.java
@@ -1,8 +1,8 @@
 package cacheproxy.soak;
 
-import cacheproxy.soak.SoakHistory.Death;
-import cacheproxy.soak.SoakHistory.Ending;
 import cacheproxy.soak.SoakHistory.Outage;
+import cacheproxy.soak.SoakHistory.ProcessExit;
+import cacheproxy.soak.SoakHistory.Shutdown;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.Random;
@@ -26,7 +26,7 @@
     private final SoakHistory history;
     private final Configuration configuration;
     /** Numbers the requests of connections that come late in an end. */
-    private final AtomicInteger endings = new AtomicInteger();
+    private final AtomicInteger lateClients = new AtomicInteger();
 
     ProxyFaults(SoakHistory history, Configuration configuration) {
         this.history = history;
@@ -49,39 +49,39 @@
         proxy.kill();
         long ended = System.nanoTime();
         history.outages.add(new Outage(proxy.number, from, from, ended));
-        history.deaths.add(new Death(proxy.number, ended));
+        history.processExits.add(new ProcessExit(proxy.number, ended));
         restart(proxy, random);
     }
 
     /** A planned end, in which clients go on and further signals may come, and SIGKILL as early as it may. */
     void terminate(SoakProxy proxy, Random random) throws Exception {
-        end(proxy, random);
+        shutDown(proxy, random);
         restart(proxy, random);
     }
 
-    private void end(SoakProxy proxy, Random random) throws Exception {
+    private void shutDown(SoakProxy proxy, Random random) throws Exception {
         if (random.nextInt(3) == 0) {
             proxy.signal("HUP");
         }
-        long asked = System.nanoTime();
+        long requested = System.nanoTime();
         proxy.signal("TERM");
         if (random.nextInt(3) == 0) {
             proxy.signal(random.nextBoolean() ? "HUP" : "TERM");
         }
         int lateMs = LATE_CONNECTION_FROM_MS + random.nextInt(LATE_CONNECTION_UNTIL_MS - LATE_CONNECTION_FROM_MS);
-        LockSupport.parkNanos(asked + lateMs * 1_000_000L - System.nanoTime());
-        SoakClient late = new SoakClient(
-                "c" + proxy.number + "xe" + endings.incrementAndGet(), proxy.number, proxy.port, history, 0, 0);
-        if (System.nanoTime() - asked < LATE_CONNECTION_UNTIL_MS * 1_000_000L) {
-            late.askOnce("connection " + lateMs + " ms after SIGTERM");
+        LockSupport.parkNanos(requested + lateMs * 1_000_000L - System.nanoTime());
+        SoakClient lateClient = new SoakClient(
+                "c" + proxy.number + "xe" + lateClients.incrementAndGet(), proxy.number, proxy.port, history, 0, 0);
+        if (System.nanoTime() - requested < LATE_CONNECTION_UNTIL_MS * 1_000_000L) {
+            lateClient.requestOnce("connection " + lateMs + " ms after SIGTERM");
         }
         if (random.nextInt(3) == 0) {
             proxy.signal(random.nextBoolean() ? "HUP" : "TERM");
         }
-        proxy.awaitEndOrKill(asked + EARLIEST_KILL_MS * 1_000_000L);
+        proxy.awaitEndOrKill(requested + EARLIEST_KILL_MS * 1_000_000L);
         long ended = System.nanoTime();
-        history.endings.add(new Ending(proxy.number, asked, ended));
-        history.deaths.add(new Death(proxy.number, ended));
+        history.shutdowns.add(new Shutdown(proxy.number, requested, ended));
+        history.processExits.add(new ProcessExit(proxy.number, ended));
     }
 
     /** Starts it again; some starts get a signal with the first connection, and some are ended by it. */
@@ -92,7 +92,7 @@
         if (signal < 3) {
             try (Socket first = proxy.firstConnection()) {
                 if (signal == 0) {
-                    end(proxy, random);
+                    shutDown(proxy, random);
                     proxy.start();
                 } else {
                     proxy.signal("HUP");
@@ -103,7 +103,7 @@
     }
 
     /** Several configurations in quick succession; the last one stays. */
-    void moveDiscovery(SoakProxy proxy, Random random) throws Exception {
+    void switchDiscovery(SoakProxy proxy, Random random) throws Exception {
         for (int i = 1 + random.nextInt(3); i > 0; i--) {
             configuration.write(proxy, random.nextInt(2));
             proxy.signal("HUP");
--- a/src/test/java/cacheproxy/soak/SoakClient.java
+++ b/src/test/java/cacheproxy/soak/SoakClient.java
@@ -20,8 +20,8 @@
  * middle.
  */
 final class SoakClient implements Runnable {
-    private static final int SHORTEST_WAIT_MS = 150;
-    private static final int LONGEST_WAIT_MS = 900;
+    private static final int MIN_DEADLINE_MS = 150;
+    private static final int MAX_DEADLINE_MS = 900;
     private static final int ANSWER_TIMEOUT_MS = 2500;
     /** What a client that stops midway is owed its close in: 3 s, and what a busy machine may add. */
     private static final int MIDWAY_TIMEOUT_MS = 6000;
@@ -32,7 +32,7 @@
     private final SoakHistory history;
     private final Random random;
     private final long endNanos;
-    private int requests;
+    private int requestCount;
     /** When the present connection had come up. */
     private long connectedNanos;
 
@@ -51,7 +51,7 @@
             try (Socket socket = connect()) {
                 socket.setTcpNoDelay(true);
                 socket.setSoTimeout(ANSWER_TIMEOUT_MS);
-                converse(socket);
+                useConnection(socket);
             } catch (IOException e) {
                 pause(20); // the proxy is not there
             }
@@ -59,16 +59,16 @@
     }
 
     /** Asks once on a new connection, which has to come up; a complaint names {@code what} otherwise. */
-    void askOnce(String what) {
+    void requestOnce(String what) {
         try (Socket socket = connect()) {
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(ANSWER_TIMEOUT_MS);
             List<Request> sent = send(socket, 1, false);
             if (!readAnswer(new BufferedInputStream(socket.getInputStream()), sent.get(0))) {
-                cut(sent);
+                recordCut(sent);
             }
         } catch (IOException e) {
-            history.complaints.add("refused: n" + proxy + ", " + what + ": " + e.getMessage());
+            history.errors.add("refused: n" + proxy + ", " + what + ": " + e.getMessage());
         }
     }
 
@@ -78,7 +78,7 @@
         return socket;
     }
 
-    private void converse(Socket socket) throws IOException {
+    private void useConnection(Socket socket) throws IOException {
         InputStream in = new BufferedInputStream(socket.getInputStream());
         for (int i = 1 + random.nextInt(30); i > 0 && System.nanoTime() < endNanos; i--) {
             int behaviour = random.nextInt(100);
@@ -89,12 +89,12 @@
             List<Request> sent =
                     send(socket, behaviour < 12 ? 2 + random.nextInt(3) : 1, behaviour >= 12 && behaviour < 18);
             if (behaviour >= 90) {
-                leave(socket, sent);
+                closeBeforeAnswer(socket, sent);
                 return;
             }
-            for (Request r : sent) {
-                if (!readAnswer(in, r)) {
-                    cut(sent);
+            for (Request request : sent) {
+                if (!readAnswer(in, request)) {
+                    recordCut(sent);
                     return;
                 }
             }
@@ -107,23 +107,23 @@
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < count; i++) {
             boolean write = random.nextInt(10) == 0;
-            String id = name + "x" + ++requests;
-            int waitMs = SHORTEST_WAIT_MS + random.nextInt(LONGEST_WAIT_MS - SHORTEST_WAIT_MS);
-            batch.add(new Request(id, proxy, write ? Effect.SINGLE : Effect.SAFE, waitMs));
+            String id = name + "x" + ++requestCount;
+            int deadlineMs = MIN_DEADLINE_MS + random.nextInt(MAX_DEADLINE_MS - MIN_DEADLINE_MS);
+            batch.add(new Request(id, proxy, write ? Effect.SINGLE : Effect.SAFE, deadlineMs));
             String key = "k" + random.nextInt(500);
             text.append(
                     write
-                            ? "ms " + key + " 2 O" + id + " Pc=fix,d=" + waitMs + "\r\nhi\r\n"
-                            : "mg " + key + " v O" + id + " Pc=text,d=" + waitMs + "\r\n");
+                            ? "ms " + key + " 2 O" + id + " Pc=fix,d=" + deadlineMs + "\r\nhi\r\n"
+                            : "mg " + key + " v O" + id + " Pc=text,d=" + deadlineMs + "\r\n");
         }
-        long began = System.nanoTime();
+        long writeStart = System.nanoTime();
         int longestMs = 0;
-        for (Request r : batch) {
-            longestMs = Math.max(longestMs, r.waitMs);
-            r.orderedWaitMs = longestMs;
-            r.beganNanos = began;
-            r.connectedNanos = connectedNanos;
-            history.requests.put(r.id, r);
+        for (Request request : batch) {
+            longestMs = Math.max(longestMs, request.deadlineMs);
+            request.orderedDeadlineMs = longestMs;
+            request.writeStartNanos = writeStart;
+            request.connectedNanos = connectedNanos;
+            history.requests.put(request.id, request);
         }
         byte[] bytes = text.toString().getBytes(StandardCharsets.ISO_8859_1);
         int first = inPieces ? 1 + random.nextInt(bytes.length - 1) : 0;
@@ -133,19 +133,19 @@
         }
         socket.getOutputStream().write(bytes, first, bytes.length - first);
         long sent = System.nanoTime();
-        batch.forEach(r -> r.sentNanos = sent);
+        batch.forEach(request -> request.sentNanos = sent);
         return batch;
     }
 
     /** Closes, or resets, before the answer; some time after sending or at once. */
-    private void leave(Socket socket, List<Request> sent) throws IOException {
+    private void closeBeforeAnswer(Socket socket, List<Request> sent) throws IOException {
         pause(random.nextInt(120));
         if (random.nextBoolean()) {
             socket.setSoLinger(true, 0);
         }
         long closing = System.nanoTime();
         socket.close();
-        sent.forEach(r -> r.closedNanos = closing);
+        sent.forEach(request -> request.closedNanos = closing);
     }
 
     private void stopMidway(Socket socket, InputStream in) throws IOException {
@@ -156,26 +156,26 @@
                 // an error line is as good as the end
             }
         } catch (SocketTimeoutException e) {
-            history.complaints.add("stopped midway: n" + proxy + " has not closed within " + MIDWAY_TIMEOUT_MS + " ms");
+            history.errors.add("stopped midway: n" + proxy + " has not closed within " + MIDWAY_TIMEOUT_MS + " ms");
         } catch (IOException e) {
             // a reset is an end, too
         }
     }
 
     /** False if the connection ended. */
-    private boolean readAnswer(InputStream in, Request r) {
+    private boolean readAnswer(InputStream in, Request request) {
         try {
-            String line = ScriptedServer.line(in);
+            String line = ScriptedServer.readLine(in);
             if (line == null) {
                 return false;
             }
             if (line.startsWith("VA ")) {
                 in.skipNBytes(Integer.parseInt(line.split(" ", 0)[1]) + 2);
             }
-            r.answeredNanos = System.nanoTime();
-            boolean own = line.contains("O" + r.id) || line.startsWith("SERVER_ERROR");
+            request.answeredNanos = System.nanoTime();
+            boolean own = line.contains("O" + request.id) || line.startsWith("SERVER_ERROR");
             if (!own) {
-                history.complaints.add("answer: '" + line + "' for " + r.id + " of n" + proxy);
+                history.errors.add("answer: '" + line + "' for " + request.id + " of n" + proxy);
             }
             return true;
         } catch (IOException e) {
@@ -183,11 +183,11 @@
         }
     }
 
-    private static void cut(List<Request> sent) {
+    private static void recordCut(List<Request> sent) {
         long now = System.nanoTime();
-        for (Request r : sent) {
-            if (r.answeredNanos == 0) {
-                r.cutNanos = now;
+        for (Request request : sent) {
+            if (request.answeredNanos == 0) {
+                request.cutNanos = now;
             }
         }
     }
--- a/src/test/java/cacheproxy/soak/SoakHistory.java
+++ b/src/test/java/cacheproxy/soak/SoakHistory.java
@@ -18,14 +18,14 @@
         final String id;
         final int proxy;
         final Effect effect;
-        final int waitMs;
+        final int deadlineMs;
         /** The longest wait of those before it on its connection and its own: answers come in order. */
-        volatile int orderedWaitMs;
+        volatile int orderedDeadlineMs;
 
         /** When its connection had come up. */
         volatile long connectedNanos;
 
-        volatile long beganNanos;
+        volatile long writeStartNanos;
         /** When the last byte was handed to the system; 0: it never was. */
         volatile long sentNanos;
         /** When the client closed its connection before the answer; 0: it did not. */
@@ -35,17 +35,17 @@
         /** When the connection ended by the proxy's side without an answer; 0: it did not. */
         volatile long cutNanos;
 
-        Request(String id, int proxy, Effect effect, int waitMs) {
+        Request(String id, int proxy, Effect effect, int deadlineMs) {
             this.id = id;
             this.proxy = proxy;
             this.effect = effect;
-            this.waitMs = waitMs;
-            orderedWaitMs = waitMs;
+            this.deadlineMs = deadlineMs;
+            orderedDeadlineMs = deadlineMs;
         }
     }
 
     /** A command that came whole to a server. */
-    record Arrival(String id, String server, long atNanos, double toldMs, boolean runs) {}
+    record Arrival(String id, String server, long atNanos, double deadlineMs, boolean takesEffect) {}
 
     /**
      * A span in which a proxy's process was stopped or killed: what its clients see then is not the proxy's fault.
@@ -63,20 +63,20 @@
      * @param askedNanos when SIGTERM was about to be sent
      * @param endedNanos when the process had ended for certain, by itself or by SIGKILL
      */
-    record Ending(int proxy, long askedNanos, long endedNanos) {}
+    record Shutdown(int proxy, long askedNanos, long endedNanos) {}
 
     /** A proxy's process, with all its connections, had ended for certain, in whatever way. */
-    record Death(int proxy, long endedNanos) {}
+    record ProcessExit(int proxy, long endedNanos) {}
 
     final Map<String, Request> requests = new ConcurrentHashMap<>();
     final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
     final Queue<Outage> outages = new ConcurrentLinkedQueue<>();
-    final Queue<Ending> endings = new ConcurrentLinkedQueue<>();
-    final Queue<Death> deaths = new ConcurrentLinkedQueue<>();
+    final Queue<Shutdown> shutdowns = new ConcurrentLinkedQueue<>();
+    final Queue<ProcessExit> processExits = new ConcurrentLinkedQueue<>();
     /** From when on nobody may be sent anything, by server. */
-    final Map<String, Long> leftNanos = new ConcurrentHashMap<>();
+    final Map<String, Long> drainedNanos = new ConcurrentHashMap<>();
     /** What a process said of itself that is a fault. */
-    final Queue<String> complaints = new ConcurrentLinkedQueue<>();
+    final Queue<String> errors = new ConcurrentLinkedQueue<>();
     /** The longest time by which this process's own loop and threads were late. */
-    volatile long lateNanos;
+    volatile long maxLatenessNanos;
 }
--- a/src/test/java/cacheproxy/soak/SoakIT.java
+++ b/src/test/java/cacheproxy/soak/SoakIT.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.soak.SoakHistory.Arrival;
-import cacheproxy.soak.SoakHistory.Death;
 import cacheproxy.soak.SoakHistory.Effect;
-import cacheproxy.soak.SoakHistory.Ending;
 import cacheproxy.soak.SoakHistory.Outage;
+import cacheproxy.soak.SoakHistory.ProcessExit;
 import cacheproxy.soak.SoakHistory.Request;
+import cacheproxy.soak.SoakHistory.Shutdown;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
  * -Dsoak.rounds=40 -Dsoak.proxies=30 -Dsoak.seconds=60}.
  */
 class SoakIT {
-    private static final int FIRST = Integer.getInteger("soak.first", 1);
+    private static final int FIRST_SEED = Integer.getInteger("soak.first", 1);
     private static final int ROUNDS = Integer.getInteger("soak.rounds", 2);
     private static final SoakRound.Size SIZE =
             new SoakRound.Size(Integer.getInteger("soak.proxies", 6), 4, 8, Integer.getInteger("soak.seconds", 10));
@@ -31,11 +31,11 @@
 
     @Test
     @Timeout(7200)
-    void theInvariantsHoldUnderOverlappingFaults() throws Exception {
+    void invariantsHoldUnderOverlappingFaults() throws Exception {
         List<String> all = new ArrayList<>();
-        for (int seed = FIRST; seed < FIRST + ROUNDS; seed++) {
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + ROUNDS; seed++) {
             try (SoakRound round = new SoakRound(seed, SIZE, folder.resolve("seed-" + seed))) {
-                List<String> violations = round.play();
+                List<String> violations = round.run();
                 System.out.printf("soak seed %d: %d violations; %s%n", seed, violations.size(), round.summary());
                 for (String violation : violations.subList(0, Math.min(20, violations.size()))) {
                     System.out.println("soak seed " + seed + ": " + violation);
@@ -49,7 +49,7 @@
 
     /** The judge finds each kind of violation in a history that has it, and none in one that is sound. */
     @Test
-    void theJudgeFindsWhatIsPutIn() {
+    void judgeFindsEachKindOfViolation() {
         SoakHistory sound = new SoakHistory();
         Request read = request(sound, "a", Effect.SAFE, 500);
         read.answeredNanos = 100_000_000;
@@ -59,17 +59,20 @@
         sound.arrivals.add(new Arrival("a", "origin", 400_000_000, 500, true));
         assertThat(SoakJudge.violations(sound, 2000)).singleElement().asString().startsWith("deadline: a");
 
-        assertThat(SoakJudge.violations(stopped(11, 12), 2000)).isEmpty();
-        assertThat(SoakJudge.violations(stopped(5, 12), 2000)).isEmpty();
-        assertThat(SoakJudge.violations(stopped(5, 9), 2000))
+        assertThat(SoakJudge.violations(readWithPause(11, 12), 2000)).isEmpty();
+        assertThat(SoakJudge.violations(readWithPause(5, 12), 2000)).isEmpty();
+        assertThat(SoakJudge.violations(readWithPause(5, 9), 2000))
                 .singleElement()
                 .asString()
                 .startsWith("deadline: f");
 
-        SoakHistory left = new SoakHistory();
-        request(left, "b", Effect.SAFE, 900).closedNanos = 50_000_000;
-        left.arrivals.add(new Arrival("b", "s", 200_000_000, 600, false));
-        assertThat(SoakJudge.violations(left, 2000)).singleElement().asString().startsWith("client gone: b");
+        SoakHistory clientGone = new SoakHistory();
+        request(clientGone, "b", Effect.SAFE, 900).closedNanos = 50_000_000;
+        clientGone.arrivals.add(new Arrival("b", "s", 200_000_000, 600, false));
+        assertThat(SoakJudge.violations(clientGone, 2000))
+                .singleElement()
+                .asString()
+                .startsWith("client gone: b");
 
         SoakHistory twice = new SoakHistory();
         request(twice, "c", Effect.SINGLE, 900).answeredNanos = 300_000_000;
@@ -87,7 +90,7 @@
 
         SoakHistory drained = new SoakHistory();
         request(drained, "e", Effect.SAFE, 20_000).answeredNanos = 9_100_000_000L;
-        drained.leftNanos.put("s", 1L);
+        drained.drainedNanos.put("s", 1L);
         drained.arrivals.add(new Arrival("e", "s", 9_000_000_000L, 100, false));
         assertThat(SoakJudge.violations(drained, 2000))
                 .singleElement()
@@ -97,34 +100,34 @@
 
     /** Guards against a judge that passes over what a process owes when it ends as planned. */
     @Test
-    void theJudgeFindsWhatAPlannedEndOwes() {
-        assertThat(SoakJudge.violations(cutInAPlannedEnd(900, 1300), 2000))
+    void judgeFindsRequestsCutInPlannedShutdown() {
+        assertThat(SoakJudge.violations(readCutInPlannedShutdown(900, 1300), 2000))
                 .as("taken before SIGTERM")
                 .singleElement()
                 .asString()
                 .startsWith("no answer: g by n0 in its planned end, cut");
-        assertThat(SoakJudge.violations(cutInAPlannedEnd(1100, 1200), 2000))
+        assertThat(SoakJudge.violations(readCutInPlannedShutdown(1100, 1200), 2000))
                 .as("sent after SIGTERM on a connection that stayed open")
                 .singleElement()
                 .asString()
                 .contains("in its planned end");
-        assertThat(SoakJudge.violations(cutInAPlannedEnd(2500, 2600), 2000))
+        assertThat(SoakJudge.violations(readCutInPlannedShutdown(2500, 2600), 2000))
                 .as("owed at the kill")
                 .singleElement()
                 .asString()
                 .contains("in its planned end");
-        assertThat(SoakJudge.violations(cutInAPlannedEnd(1100, 1105), 2000))
+        assertThat(SoakJudge.violations(readCutInPlannedShutdown(1100, 1105), 2000))
                 .as("closed before the command came")
                 .isEmpty();
-        assertThat(SoakJudge.violations(cutInAPlannedEnd(2700, 2701), 2000))
+        assertThat(SoakJudge.violations(readCutInPlannedShutdown(2700, 2701), 2000))
                 .as("cut by the next process, which has no end to excuse it")
                 .hasSize(1);
-        assertThat(SoakJudge.violations(cutInAPlannedEnd(1100, 0), 2000))
+        assertThat(SoakJudge.violations(readCutInPlannedShutdown(1100, 0), 2000))
                 .as("silence up to the deadline in a planned end")
                 .hasSize(1);
 
-        SoakHistory ended = cutInAPlannedEnd(2700, 2701);
-        ended.deaths.add(new Death(0, 2_600_000_000L));
+        SoakHistory ended = readCutInPlannedShutdown(2700, 2701);
+        ended.processExits.add(new ProcessExit(0, 2_600_000_000L));
         assertThat(SoakJudge.violations(ended, 2000))
                 .as("sent on a connection of a process that had ended")
                 .isEmpty();
@@ -137,7 +140,7 @@
     /**
      * A request that was sent at 10 ms and told its first deadline after a stop asked for and in force at these times.
      */
-    private static SoakHistory stopped(int fromMs, int inForceMs) {
+    private static SoakHistory readWithPause(int fromMs, int inForceMs) {
         SoakHistory history = new SoakHistory();
         Request read = request(history, "f", Effect.SAFE, 500);
         read.sentNanos = 10_000_000;
@@ -148,21 +151,21 @@
     }
 
     /** A request that was sent and cut at these times; its process was told to end at 1 s and had ended at 2.6 s. */
-    private static SoakHistory cutInAPlannedEnd(int sentMs, int cutMs) {
+    private static SoakHistory readCutInPlannedShutdown(int sentMs, int cutMs) {
         SoakHistory history = new SoakHistory();
         Request read = request(history, "g", Effect.SAFE, 500);
-        read.beganNanos = sentMs * 1_000_000L;
+        read.writeStartNanos = sentMs * 1_000_000L;
         read.sentNanos = sentMs * 1_000_000L;
         read.cutNanos = cutMs * 1_000_000L;
-        history.endings.add(new Ending(0, 1_000_000_000L, 2_600_000_000L));
+        history.shutdowns.add(new Shutdown(0, 1_000_000_000L, 2_600_000_000L));
         return history;
     }
 
-    private static Request request(SoakHistory history, String id, Effect effect, int waitMs) {
-        Request r = new Request(id, 0, effect, waitMs);
-        r.beganNanos = 1;
-        r.sentNanos = 1;
-        history.requests.put(id, r);
-        return r;
+    private static Request request(SoakHistory history, String id, Effect effect, int deadlineMs) {
+        Request request = new Request(id, 0, effect, deadlineMs);
+        request.writeStartNanos = 1;
+        request.sentNanos = 1;
+        history.requests.put(id, request);
+        return request;
     }
 }
--- a/src/test/java/cacheproxy/soak/SoakProxy.java
+++ b/src/test/java/cacheproxy/soak/SoakProxy.java
@@ -24,39 +24,39 @@
     /**
      * Below the ports that the system gives to outgoing connections, so that none has a proxy's port while it restarts.
      */
-    private static final int LEAST_PORT = 12_000;
+    private static final int MIN_PORT = 12_000;
 
-    private static final int PORTS = 18_000;
+    private static final int PORT_COUNT = 18_000;
     private static final long READY_MS = 30_000;
     /** Ports of all rounds, each given once: a proxy that is not started yet holds its own by nothing else. */
-    private static final Set<Integer> GIVEN = new HashSet<>();
+    private static final Set<Integer> USED_PORTS = new HashSet<>();
 
     final int number;
     final int port;
-    private final int control;
+    private final int controlPort;
     private final Path folder;
     private final JsonObject config;
     private Process process;
 
-    SoakProxy(int number, Path parent, JsonObject settings, Random ports) throws IOException {
+    SoakProxy(int number, Path parent, JsonObject settings, Random random) throws IOException {
         this.number = number;
         folder = Files.createDirectories(parent.resolve("n" + number));
-        port = freePort(ports);
-        control = freePort(ports);
+        port = freePort(random);
+        controlPort = freePort(random);
         config = new JsonObject();
         config.addProperty("name", "n" + number);
         config.addProperty("listen", "127.0.0.1:" + port);
-        config.addProperty("control", "127.0.0.1:" + control);
-        config.addProperty("seed", Long.toHexString(ports.nextLong()));
-        JsonObject own = settings.deepCopy();
-        own.addProperty("me", number);
-        config.add("settings", own);
+        config.addProperty("control", "127.0.0.1:" + controlPort);
+        config.addProperty("seed", Long.toHexString(random.nextLong()));
+        JsonObject ownSettings = settings.deepCopy();
+        ownSettings.addProperty("me", number);
+        config.add("settings", ownSettings);
     }
 
     private static int freePort(Random random) throws IOException {
         while (true) {
-            int port = LEAST_PORT + random.nextInt(PORTS);
-            if (!GIVEN.add(port)) {
+            int port = MIN_PORT + random.nextInt(PORT_COUNT);
+            if (!USED_PORTS.add(port)) {
                 continue;
             }
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
@@ -68,12 +68,12 @@
     }
 
     /** Writes the configuration; a running process reads it at SIGHUP. */
-    void configure(String discovery, JsonArray known) throws IOException {
+    void configure(String discovery, JsonArray knownHosts) throws IOException {
         config.addProperty("discovery", discovery);
         JsonObject list = new JsonObject();
         list.addProperty("seq", 0);
         list.addProperty("whole", true);
-        list.add("hosts", known);
+        list.add("hosts", knownHosts);
         config.add("known", list);
         Path next = folder.resolve("config.new");
         Files.writeString(next, config.toString());
@@ -106,9 +106,9 @@
 
     /** Waits until it takes clients. */
     void awaitReady() throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
-        while (!call("GET /status").contains(" 200 ")) {
-            if (!process.isAlive() || System.nanoTime() > until) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+        while (!callControl("GET /status").contains(" 200 ")) {
+            if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
                 throw new IOException("n" + number + " did not become ready: " + Files.readString(log()));
             }
             LockSupport.parkNanos(10_000_000);
@@ -116,11 +116,11 @@
     }
 
     /** The status line and the last line of what the control address answers; empty where nothing does. */
-    String call(String line) {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), control)) {
+    String callControl(String requestLine) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), controlPort)) {
             socket.setSoTimeout(5000);
             socket.getOutputStream()
-                    .write((line + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").getBytes(UTF_8));
+                    .write((requestLine + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").getBytes(UTF_8));
             List<String> lines = new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8))
                     .lines()
                     .toList();
@@ -155,8 +155,8 @@
 
     /** The first connection that it takes after its start; null if none came up in time. */
     Socket firstConnection() {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
-        while (process.isAlive() && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+        while (process.isAlive() && System.nanoTime() < deadlineNanos) {
             try {
                 return new Socket(InetAddress.getLoopbackAddress(), port);
             } catch (IOException e) {
--- a/src/test/java/cacheproxy/soak/SoakRound.java
+++ b/src/test/java/cacheproxy/soak/SoakRound.java
@@ -31,10 +31,10 @@
     record Size(int proxies, int clientsEach, int servers, double seconds) {}
 
     static final double DRAIN_GRACE_MS = 2000;
-    private static final int BEAT_MS = 10;
-    private static final double MS = 1e6;
+    private static final int LATENESS_CHECK_MS = 10;
+    private static final double NANOS_PER_MS = 1e6;
     /** Stops further from a request than this are not told with it. */
-    private static final long EXPLAINED_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long EXPLANATION_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private static final int WARM_UP_REQUESTS = 100;
     private static final Pattern REQUEST_ID = Pattern.compile("c\\d+xe?\\d+x\\d+");
@@ -92,26 +92,26 @@
     private final FakeDiscovery[] discoveries = new FakeDiscovery[2];
     private final List<SoakServer> servers = new ArrayList<>();
     private final List<SoakProxy> proxies = new ArrayList<>();
-    private final AtomicReferenceArray<Boolean> busy;
+    private final AtomicReferenceArray<Boolean> proxiesUnderFault;
     private final ProxyFaults proxyFaults;
     private final ExecutorService workers = Executors.newCachedThreadPool();
-    private int named;
-    private int faults;
+    private int lastServerNumber;
+    private int faultCount;
 
     SoakRound(long seed, Size size, Path folder) throws Exception {
         this.size = size;
         random = new Random(seed);
-        busy = new AtomicReferenceArray<>(size.proxies());
+        proxiesUnderFault = new AtomicReferenceArray<>(size.proxies());
         proxyFaults = new ProxyFaults(history, this::configure);
         for (int i = 0; i < discoveries.length; i++) {
             discoveries[i] = FakeDiscovery.start(discoveryLoop);
         }
         SoakServer origin = SoakServer.origin(
-                "origin", servingLoop, history, new SoakServer.Troubles(0, 10, 0, 5, 5, 150, 400), random.nextLong());
+                "origin", servingLoop, history, new SoakServer.FaultRates(0, 10, 0, 5, 5, 150, 400), random.nextLong());
         servers.add(origin);
-        list("origin", origin.dial(), "origin", "up", 0);
+        putInDiscovery("origin", origin.dial(), "origin", "up", 0);
         for (int i = 0; i < size.servers(); i++) {
-            join(0);
+            addServer(0);
         }
         JsonObject settings = new JsonObject();
         for (String line : SETTINGS) {
@@ -123,61 +123,71 @@
         }
     }
 
-    private void list(String name, String dial, String kind, String health, double bornMs) {
-        for (FakeDiscovery d : discoveries) {
-            d.put(name, dial, kind, health, bornMs);
+    private void putInDiscovery(String name, String dial, String kind, String health, double startMs) {
+        for (FakeDiscovery discovery : discoveries) {
+            discovery.put(name, dial, kind, health, startMs);
         }
     }
 
-    private void join(double bornMs) throws InterruptedException {
-        String name = "s-%08x".formatted(++named);
+    private void addServer(double startMs) throws InterruptedException {
+        String name = "s-%08x".formatted(++lastServerNumber);
         SoakServer server = SoakServer.node(
-                name, servingLoop, history, new SoakServer.Troubles(250, 30, 10, 10, 10, 100, 700), random.nextLong());
+                name,
+                servingLoop,
+                history,
+                new SoakServer.FaultRates(250, 30, 10, 10, 10, 100, 700),
+                random.nextLong());
         servers.add(server);
-        list(name, server.dial(), "node", "up", bornMs);
+        putInDiscovery(name, server.dial(), "node", "up", startMs);
     }
 
-    private JsonArray known() {
-        return discoveries[0].whole().getAsJsonArray("hosts");
+    private JsonArray knownHosts() {
+        return discoveries[0].fullList().getAsJsonArray("hosts");
     }
 
     private void configure(SoakProxy proxy, int discovery) throws IOException {
-        proxy.configure(discoveries[discovery].dial(), known());
+        proxy.configure(discoveries[discovery].dial(), knownHosts());
     }
 
     /** Plays it; what was violated, a line each. */
-    List<String> play() throws Exception {
-        for (SoakProxy p : proxies) {
-            configure(p, 0);
-            p.start();
+    List<String> run() throws Exception {
+        for (SoakProxy proxy : proxies) {
+            configure(proxy, 0);
+            proxy.start();
         }
-        for (SoakProxy p : proxies) {
-            p.awaitReady();
+        for (SoakProxy proxy : proxies) {
+            proxy.awaitReady();
         }
         warmUpServers();
-        watchLateness();
+        measureLateness();
         long end = System.nanoTime() + (long) (size.seconds() * 1e9);
         List<Thread> clients = new ArrayList<>();
-        for (SoakProxy p : proxies) {
+        for (SoakProxy proxy : proxies) {
             for (int i = 0; i < size.clientsEach(); i++) {
-                Thread t = new Thread(
-                        new SoakClient("c" + p.number + "x" + i, p.number, p.port, history, random.nextLong(), end),
+                Thread thread = new Thread(
+                        new SoakClient(
+                                "c" + proxy.number + "x" + i,
+                                proxy.number,
+                                proxy.port,
+                                history,
+                                random.nextLong(),
+                                end),
                         "client");
-                t.setDaemon(true);
-                t.start();
-                clients.add(t);
+                thread.setDaemon(true);
+                thread.start();
+                clients.add(thread);
             }
         }
         while (System.nanoTime() < end) {
             LockSupport.parkNanos((long) (random.nextDouble() * 400e6 * 30 / (30 + size.proxies())));
-            fault();
+            injectFault();
         }
-        for (Thread t : clients) {
-            t.join();
+        for (Thread thread : clients) {
+            thread.join();
         }
         workers.shutdown();
         workers.awaitTermination(30, TimeUnit.SECONDS);
-        hearProcesses();
+        collectProcessErrors();
         return SoakJudge.violations(history, DRAIN_GRACE_MS);
     }
 
@@ -188,62 +198,62 @@
      */
     private void warmUpServers() throws Exception {
         SoakHistory unjudged = new SoakHistory();
-        try (SoakServer node = SoakServer.node("warm", servingLoop, unjudged, SoakServer.Troubles.NONE, 0);
-                SoakServer origin = SoakServer.origin("warm", servingLoop, unjudged, SoakServer.Troubles.NONE, 0)) {
+        try (SoakServer node = SoakServer.node("warm", servingLoop, unjudged, SoakServer.FaultRates.NONE, 0);
+                SoakServer origin = SoakServer.origin("warm", servingLoop, unjudged, SoakServer.FaultRates.NONE, 0)) {
             node.warmUp(WARM_UP_REQUESTS);
             origin.warmUp(WARM_UP_REQUESTS);
         }
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private void watchLateness() {
+    private void measureLateness() {
         long[] last = {System.nanoTime()};
         servingLoop.scheduleWithFixedDelay(
                 () -> {
                     long now = System.nanoTime();
-                    history.lateNanos =
-                            Math.max(history.lateNanos, now - last[0] - TimeUnit.MILLISECONDS.toNanos(BEAT_MS));
+                    history.maxLatenessNanos = Math.max(
+                            history.maxLatenessNanos, now - last[0] - TimeUnit.MILLISECONDS.toNanos(LATENESS_CHECK_MS));
                     last[0] = now;
                 },
-                BEAT_MS,
-                BEAT_MS,
+                LATENESS_CHECK_MS,
+                LATENESS_CHECK_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void fault() throws Exception {
-        faults++;
+    private void injectFault() throws Exception {
+        faultCount++;
         SoakServer server = servers.get(random.nextInt(servers.size()));
         switch (random.nextInt(12)) {
-            case 0, 1, 2 -> onProxy(proxyFaults::pause);
-            case 3 -> onProxy(proxyFaults::kill);
-            case 4 -> onProxy(proxyFaults::terminate);
-            case 5, 6 -> onProxy(proxyFaults::moveDiscovery);
+            case 0, 1, 2 -> injectOnProxy(proxyFaults::pause);
+            case 3 -> injectOnProxy(proxyFaults::kill);
+            case 4 -> injectOnProxy(proxyFaults::terminate);
+            case 5, 6 -> injectOnProxy(proxyFaults::switchDiscovery);
             case 7 -> server.hang(200 + random.nextInt(1800));
             case 8 -> server.resetAll();
-            case 9 -> join((double) System.currentTimeMillis());
+            case 9 -> addServer((double) System.currentTimeMillis());
             case 10 -> drain();
-            default -> onProxy(proxyFaults::pause);
+            default -> injectOnProxy(proxyFaults::pause);
         }
     }
 
     /** What befalls one proxy, on a thread of its own. */
-    private interface Trouble {
-        void strike(SoakProxy proxy, Random by) throws Exception;
+    private interface ProxyFault {
+        void inject(SoakProxy proxy, Random random) throws Exception;
     }
 
-    private void onProxy(Trouble trouble) {
+    private void injectOnProxy(ProxyFault proxyFault) {
         SoakProxy proxy = proxies.get(random.nextInt(proxies.size()));
         long seed = random.nextLong();
-        if (!busy.compareAndSet(proxy.number, null, true)) {
+        if (!proxiesUnderFault.compareAndSet(proxy.number, null, true)) {
             return;
         }
         workers.execute(() -> {
             try {
-                trouble.strike(proxy, new Random(seed));
+                proxyFault.inject(proxy, new Random(seed));
             } catch (Exception e) {
-                history.complaints.add("n" + proxy.number + ": " + e);
+                history.errors.add("n" + proxy.number + ": " + e);
             } finally {
-                busy.set(proxy.number, null);
+                proxiesUnderFault.set(proxy.number, null);
             }
         });
     }
@@ -251,34 +261,34 @@
     /** A server drains and is gone later; it stays up, as it may. A few always stay. */
     private void drain() {
         List<SoakServer> candidates = servers.stream()
-                .filter(s -> !s.name.equals("origin") && !history.leftNanos.containsKey(s.name))
+                .filter(server -> !server.name.equals("origin") && !history.drainedNanos.containsKey(server.name))
                 .toList();
         if (candidates.size() <= 3) {
             return;
         }
         SoakServer server = candidates.get(random.nextInt(candidates.size()));
-        history.leftNanos.put(server.name, System.nanoTime());
-        list(server.name, server.dial(), "node", random.nextBoolean() ? "draining" : "removed", 0);
+        history.drainedNanos.put(server.name, System.nanoTime());
+        putInDiscovery(server.name, server.dial(), "node", random.nextBoolean() ? "draining" : "removed", 0);
     }
 
-    private void hearProcesses() throws IOException {
-        for (SoakProxy p : proxies) {
-            if (!p.alive()) {
-                history.complaints.add("n" + p.number + " has ended by itself");
+    private void collectProcessErrors() throws IOException {
+        for (SoakProxy proxy : proxies) {
+            if (!proxy.alive()) {
+                history.errors.add("n" + proxy.number + " has ended by itself");
                 continue;
             }
-            String told = p.call("GET /invariants");
-            if (!told.contains("violations=0 ")) {
-                history.complaints.add("n" + p.number + " tells of violations: " + told);
+            String answer = proxy.callControl("GET /invariants");
+            if (!answer.contains("violations=0 ")) {
+                history.errors.add("n" + proxy.number + " tells of violations: " + answer);
             }
         }
-        for (SoakProxy p : proxies) {
-            Files.readAllLines(p.log()).stream()
-                    .filter(l -> l.startsWith("fault")
-                            || l.startsWith("invariant violated")
-                            || l.startsWith("request left unanswered")
-                            || l.contains("Exception in thread"))
-                    .forEach(l -> history.complaints.add("n" + p.number + " logs: " + l));
+        for (SoakProxy proxy : proxies) {
+            Files.readAllLines(proxy.log()).stream()
+                    .filter(line -> line.startsWith("fault")
+                            || line.startsWith("invariant violated")
+                            || line.startsWith("request left unanswered")
+                            || line.contains("Exception in thread"))
+                    .forEach(line -> history.errors.add("n" + proxy.number + " logs: " + line));
         }
     }
 
@@ -291,9 +301,9 @@
         List<String> lines = new ArrayList<>();
         if (id.find()) {
             lines.addAll(explainByHistory(id.group()));
-            for (SoakProxy p : proxies) {
-                Files.readAllLines(p.log()).stream()
-                        .filter(l -> l.contains("id=" + id.group() + " "))
+            for (SoakProxy proxy : proxies) {
+                Files.readAllLines(proxy.log()).stream()
+                        .filter(line -> line.contains("id=" + id.group() + " "))
                         .forEach(lines::add);
             }
         }
@@ -309,47 +319,61 @@
         List<String> lines = new ArrayList<>();
         lines.add("began %.1f sent %.1f answered %.1f, deadline %d"
                 .formatted(
-                        request.beganNanos / MS, request.sentNanos / MS, request.answeredNanos / MS, request.waitMs));
+                        request.writeStartNanos / NANOS_PER_MS,
+                        request.sentNanos / NANOS_PER_MS,
+                        request.answeredNanos / NANOS_PER_MS,
+                        request.deadlineMs));
         history.arrivals.stream()
-                .filter(a -> a.id().equals(id))
-                .forEach(a ->
-                        lines.add("arrived %.1f at %s, told %.0f".formatted(a.atNanos() / MS, a.server(), a.toldMs())));
+                .filter(arrival -> arrival.id().equals(id))
+                .forEach(arrival -> lines.add("arrived %.1f at %s, told %.0f"
+                        .formatted(arrival.atNanos() / NANOS_PER_MS, arrival.server(), arrival.deadlineMs())));
         history.outages.stream()
-                .filter(o ->
-                        o.proxy() == request.proxy && Math.abs(o.fromNanos() - request.sentNanos) < EXPLAINED_NANOS)
-                .forEach(o -> lines.add("stop asked for %.1f, in force %.1f, over %.1f"
-                        .formatted(o.fromNanos() / MS, o.inForceNanos() / MS, o.toNanos() / MS)));
-        history.endings.stream()
-                .filter(e ->
-                        e.proxy() == request.proxy && Math.abs(e.askedNanos() - request.sentNanos) < EXPLAINED_NANOS)
-                .forEach(e -> lines.add("SIGTERM %.1f, ended %.1f; cut %.1f"
-                        .formatted(e.askedNanos() / MS, e.endedNanos() / MS, request.cutNanos / MS)));
+                .filter(outage -> outage.proxy() == request.proxy
+                        && Math.abs(outage.fromNanos() - request.sentNanos) < EXPLANATION_WINDOW_NANOS)
+                .forEach(outage -> lines.add("stop asked for %.1f, in force %.1f, over %.1f"
+                        .formatted(
+                                outage.fromNanos() / NANOS_PER_MS,
+                                outage.inForceNanos() / NANOS_PER_MS,
+                                outage.toNanos() / NANOS_PER_MS)));
+        history.shutdowns.stream()
+                .filter(shutdown -> shutdown.proxy() == request.proxy
+                        && Math.abs(shutdown.askedNanos() - request.sentNanos) < EXPLANATION_WINDOW_NANOS)
+                .forEach(shutdown -> lines.add("SIGTERM %.1f, ended %.1f; cut %.1f"
+                        .formatted(
+                                shutdown.askedNanos() / NANOS_PER_MS,
+                                shutdown.endedNanos() / NANOS_PER_MS,
+                                request.cutNanos / NANOS_PER_MS)));
         return lines;
     }
 
     /** What was played, in a line. */
     String summary() {
         String stopped = proxies.stream()
-                .map(p -> p.call("GET /invariants"))
-                .map(s -> s.replaceAll(".* stopped=(\\d+).*", "$1"))
-                .filter(s -> s.matches("\\d+"))
+                .map(proxy -> proxy.callControl("GET /invariants"))
+                .map(status -> status.replaceAll(".* stopped=(\\d+).*", "$1"))
+                .filter(status -> status.matches("\\d+"))
                 .collect(Collectors.summingLong(Long::parseLong))
                 .toString();
         return "%d requests, %d arrivals, %d faults, %s stopped by guards, own lateness %.0f ms"
-                .formatted(history.requests.size(), history.arrivals.size(), faults, stopped, history.lateNanos / 1e6);
+                .formatted(
+                        history.requests.size(),
+                        history.arrivals.size(),
+                        faultCount,
+                        stopped,
+                        history.maxLatenessNanos / 1e6);
     }
 
     @Override
     public void close() throws Exception {
         workers.shutdownNow();
-        for (SoakProxy p : proxies) {
-            p.close();
+        for (SoakProxy proxy : proxies) {
+            proxy.close();
         }
-        for (SoakServer s : servers) {
-            s.close();
+        for (SoakServer server : servers) {
+            server.close();
         }
-        for (FakeDiscovery d : discoveries) {
-            d.close();
+        for (FakeDiscovery discovery : discoveries) {
+            discovery.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
--- a/src/test/java/cacheproxy/soak/SoakServer.java
+++ b/src/test/java/cacheproxy/soak/SoakServer.java
@@ -43,27 +43,28 @@
     private static final int IDLE_CLOSE_MS = 1500;
 
     /** Chances in a thousand of what befalls a request. */
-    record Troubles(int miss, int refuse, int fail, int reset, int drop, int late, int mostLateMs) {
-        static final Troubles NONE = new Troubles(0, 0, 0, 0, 0, 0, 1);
+    record FaultRates(int miss, int refuse, int fail, int reset, int drop, int late, int maxLateMs) {
+        static final FaultRates NONE = new FaultRates(0, 0, 0, 0, 0, 0, 1);
     }
 
     final String name;
     private final boolean isOrigin;
     private final EventLoop loop;
     private final SoakHistory history;
-    private final Troubles troubles;
+    private final FaultRates faultRates;
     private final Random random;
     private final ChannelGroup connections;
     private final Channel server;
     private boolean hanging;
 
-    private SoakServer(String name, boolean origin, EventLoop loop, SoakHistory history, Troubles troubles, long seed)
+    private SoakServer(
+            String name, boolean origin, EventLoop loop, SoakHistory history, FaultRates faultRates, long seed)
             throws InterruptedException {
         this.name = name;
         isOrigin = origin;
         this.loop = loop;
         this.history = history;
-        this.troubles = troubles;
+        this.faultRates = faultRates;
         random = new Random(seed);
         connections = new DefaultChannelGroup(loop);
         server = new ServerBootstrap()
@@ -95,14 +96,14 @@
                 .channel();
     }
 
-    static SoakServer node(String name, EventLoop loop, SoakHistory history, Troubles troubles, long seed)
+    static SoakServer node(String name, EventLoop loop, SoakHistory history, FaultRates faultRates, long seed)
             throws InterruptedException {
-        return new SoakServer(name, false, loop, history, troubles, seed);
+        return new SoakServer(name, false, loop, history, faultRates, seed);
     }
 
-    static SoakServer origin(String name, EventLoop loop, SoakHistory history, Troubles troubles, long seed)
+    static SoakServer origin(String name, EventLoop loop, SoakHistory history, FaultRates faultRates, long seed)
             throws InterruptedException {
-        return new SoakServer(name, true, loop, history, troubles, seed);
+        return new SoakServer(name, true, loop, history, faultRates, seed);
     }
 
     String dial() {
@@ -130,8 +131,8 @@
     }
 
     private static String deadline(String text) {
-        Matcher m = DEADLINE.matcher(text);
-        return m.find() ? m.group(1) : "NaN";
+        Matcher matcher = DEADLINE.matcher(text);
+        return matcher.find() ? matcher.group(1) : "NaN";
     }
 
     private boolean chance(int inThousand) {
@@ -157,19 +158,19 @@
 
     /** Records a request and says whether it is answered; {@code runs} is whether it takes effect. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private boolean arrives(Channel channel, String id, String list, boolean runs) {
-        history.arrivals.add(
-                new SoakHistory.Arrival(id, name, System.nanoTime(), Double.parseDouble(deadline(list)), runs));
-        if (chance(troubles.reset())) {
+    private boolean recordArrival(Channel channel, String id, String parameters, boolean takesEffect) {
+        history.arrivals.add(new SoakHistory.Arrival(
+                id, name, System.nanoTime(), Double.parseDouble(deadline(parameters)), takesEffect));
+        if (chance(faultRates.reset())) {
             loop.schedule(() -> reset(channel), random.nextInt(200), TimeUnit.MILLISECONDS);
             return false;
         }
-        return !hanging && !chance(troubles.drop());
+        return !hanging && !chance(faultRates.drop());
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private void later(Runnable answer) {
-        int delayMs = chance(troubles.late()) ? random.nextInt(troubles.mostLateMs()) : random.nextInt(4);
+    private void answerLater(Runnable answer) {
+        int delayMs = chance(faultRates.late()) ? random.nextInt(faultRates.maxLateMs()) : random.nextInt(4);
         loop.schedule(answer, delayMs, TimeUnit.MILLISECONDS);
     }
 
@@ -193,15 +194,17 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
             String id = line.substring(line.indexOf(" O") + 2).split(" ", 0)[0];
-            if (!arrives(ctx.channel(), id, line, false)) {
+            if (!recordArrival(ctx.channel(), id, line, false)) {
                 return;
             }
-            String answer = chance(troubles.miss())
+            String answer = chance(faultRates.miss())
                     ? "EN O" + id + "\r\n"
-                    : chance(troubles.refuse())
+                    : chance(faultRates.refuse())
                             ? "SERVER_ERROR busy\r\n"
-                            : chance(troubles.fail()) ? "SERVER_ERROR failed\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n";
-            later(() -> ctx.writeAndFlush(Unpooled.copiedBuffer(answer, StandardCharsets.ISO_8859_1)));
+                            : chance(faultRates.fail())
+                                    ? "SERVER_ERROR failed\r\n"
+                                    : "VA 5 O" + id + " h1\r\nhello\r\n";
+            answerLater(() -> ctx.writeAndFlush(Unpooled.copiedBuffer(answer, StandardCharsets.ISO_8859_1)));
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
@@ -216,8 +219,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             String id = request.headers().get("Req-Id");
-            boolean declined = chance(troubles.refuse());
-            if (!arrives(ctx.channel(), id, request.headers().get("Req-Extra"), !declined)) {
+            boolean declined = chance(faultRates.refuse());
+            if (!recordArrival(ctx.channel(), id, request.headers().get("Req-Extra"), !declined)) {
                 return;
             }
             boolean write = request.method().equals(HttpMethod.PUT);
@@ -231,7 +234,7 @@
             if (declined) {
                 response.headers().set("Srv-Declined", "1");
             }
-            later(() -> ctx.writeAndFlush(response));
+            answerLater(() -> ctx.writeAndFlush(response));
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
