--- a/src/main/java/cacheproxy/nginx/ConfLexer.java
+++ b/src/main/java/cacheproxy/nginx/ConfLexer.java
@@ -1,10 +1,8 @@
 package cacheproxy.nginx;
 
 /**
- * Splits a file into words, semicolons and braces as nginx does: quotes count only where a word begins, {@code #}
- * begins a comment only there, <code>${</code> opens no block, a word without quotes ends at white space, {@code ;} and
- * <code>
- * {</code>.
+ * Splits a file into words, semicolons and braces as nginx does: a quote or {@code #} is special only at the beginning
+ * of a word, <code>${</code> opens no block, and an unquoted word ends at white space, {@code ;} or <code>{</code>.
  */
 final class ConfLexer {
     /** Kinds of tokens. */
@@ -16,10 +14,10 @@
         END_OF_FILE
     }
 
-    /** The longest word, in bytes: nginx's own bound. */
+    /** The longest word, in bytes; nginx has the same limit. */
     static final int MAX_WORD_BYTES = 4095;
 
-    /** UTF-8's byte order mark, as ISO 8859-1 text. */
+    /** The byte order mark of UTF-8, as ISO 8859-1 text. */
     private static final String BYTE_ORDER_MARK = "\u00EF\u00BB\u00BF";
 
     private static final char DELETE = 0x7F;
@@ -40,7 +38,7 @@
      * Creates a lexer.
      *
      * @param file the file's name, for positions
-     * @param text its bytes as ISO 8859-1 text
+     * @param text the file's bytes as ISO 8859-1 text
      */
     ConfLexer(String file, String text) {
         this.file = file;
@@ -51,12 +49,12 @@
         }
     }
 
-    /** The position of the last token. */
+    /** Returns the position of the last token. */
     Position tokenPosition() {
         return new Position(file, tokenLine, tokenColumn);
     }
 
-    /** The last word, without its quotes and with its escapes resolved. */
+    /** Returns the last word, without its quotes and with its escapes resolved. */
     String word() {
         return word;
     }
@@ -64,7 +62,7 @@
     /**
      * Reads a token.
      *
-     * @throws NginxSyntaxException if the text is binary, a quote is not closed or a word too long
+     * @throws NginxSyntaxException if the text is binary, a quote is not closed or a word is too long
      */
     Kind next() throws NginxSyntaxException {
         skipBlanksAndComments();
@@ -90,8 +88,8 @@
     }
 
     /**
-     * Reads the text of a Lua block, after its opening brace and with its closing one. Braces in Lua's strings and
-     * comments don't count.
+     * Reads the text of a Lua block whose opening brace is already read, and consumes its closing brace. Braces in Lua
+     * strings and comments are ignored.
      *
      * @throws NginxSyntaxException if the block is not closed
      */
@@ -135,7 +133,7 @@
         }
     }
 
-    /** Index of the next line break, or the end of the text. */
+    /** Returns the index of the next line break, or the end of the text. */
     private int endOfLine() {
         int end = text.indexOf('\n', next);
         return end < 0 ? text.length() : end;
@@ -150,7 +148,7 @@
         return next - lineStartOffset + 1;
     }
 
-    /** The next character, counted if it is a line break; control characters are rejected. */
+    /** Returns the next character, and counts it if it is a line break; rejects control characters. */
     private char checkedCharacter() throws NginxSyntaxException {
         char character = text.charAt(next);
         boolean blank = character == '\t' || character == '\r' || character == '\n';
@@ -208,7 +206,7 @@
         return out.toString();
     }
 
-    /** Appends the character at {@code next}, or what it escapes, which is read with it. */
+    /** Appends the character at {@code next}; if it is a backslash, reads and appends the escaped character instead. */
     private void appendUnescaped(char character, StringBuilder out) throws NginxSyntaxException {
         if (character == '\\' && next + 1 < text.length()) {
             next++;
@@ -224,7 +222,7 @@
         }
     }
 
-    /** Appends what a backslash and this character stand for. Other escapes are kept for regular expressions. */
+    /** Appends what an escape stands for. Unknown escapes are kept with their backslash, for regular expressions. */
     private static void appendEscaped(char character, StringBuilder out) {
         switch (character) {
             case '"', '\'', '\\' -> out.append(character);
--- a/src/main/java/cacheproxy/nginx/ConfParser.java
+++ b/src/main/java/cacheproxy/nginx/ConfParser.java
@@ -6,27 +6,27 @@
 import java.util.List;
 
 /**
- * Reads a configuration and all files that it includes into a tree of directives. Bounds: {@value #MAX_FILES} files,
- * {@value #MAX_BYTES} bytes in all, {@value #MAX_BLOCK_DEPTH} nested blocks and {@value #MAX_INCLUDE_DEPTH} nested
+ * Reads a configuration and all files that it includes into a tree of directives. Limits: {@value #MAX_FILES} files,
+ * {@value #MAX_BYTES} bytes in total, {@value #MAX_BLOCK_DEPTH} nested blocks and {@value #MAX_INCLUDE_DEPTH} nested
  * includes.
  */
 public final class ConfParser {
-    /** The most files of a configuration; a file that is included twice counts twice. */
+    /** The maximum number of files of a configuration; a file that is included twice counts twice. */
     public static final int MAX_FILES = 20_000;
 
-    /** The most bytes of all files. */
+    /** The maximum size of all files together, in bytes. */
     public static final long MAX_BYTES = 256L << 20;
 
-    /** The most blocks within each other. */
+    /** The maximum nesting depth of blocks. */
     public static final int MAX_BLOCK_DEPTH = 64;
 
-    /** The most files that include each other. */
+    /** The maximum nesting depth of includes. */
     public static final int MAX_INCLUDE_DEPTH = 64;
 
     private static final String LUA_BLOCK_SUFFIX = "_by_lua_block";
 
     private final ConfSource source;
-    /** The files being read, each included by the one before it. */
+    /** The files that are being read, each included by the one before it. */
     private final Deque<String> openFiles = new ArrayDeque<>();
 
     private final List<EmptyInclude> emptyIncludes = new ArrayList<>();
@@ -37,12 +37,12 @@
     public record EmptyInclude(Directive include) {}
 
     /**
-     * A configuration as read.
+     * A parsed configuration.
      *
-     * @param directives the tree, with the included files' directives in place of the includes
-     * @param emptyIncludes includes that matched no file
+     * @param directives the tree; each include is replaced by the directives of its files
+     * @param emptyIncludes includes whose pattern matched no file
      * @param fileCount number of files read
-     * @param byteCount size of all files
+     * @param byteCount total size of the files
      */
     public record Conf(List<Directive> directives, List<EmptyInclude> emptyIncludes, int fileCount, long byteCount) {}
 
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Reads a file and what it includes.
+     * Reads a file and the files that it includes.
      *
-     * @throws NginxSyntaxException if a file can't be read, is malformed or exceeds a bound
+     * @throws NginxSyntaxException if a file can't be read, is malformed or exceeds a limit
      */
     public static Conf read(ConfSource source, String file) throws NginxSyntaxException {
         ConfParser parser = new ConfParser(source);
@@ -63,16 +63,16 @@
     }
 
     /**
-     * Reads a text that includes nothing.
+     * Parses a text without includes.
      *
-     * @param name the file name for positions
-     * @throws NginxSyntaxException if the text is malformed, exceeds a bound or includes a file
+     * @param name the file name in positions
+     * @throws NginxSyntaxException if the text is malformed, exceeds a limit or includes a file
      */
     public static List<Directive> parse(String name, String text) throws NginxSyntaxException {
         return read(new SingleText(name, text), name).directives();
     }
 
-    /** One text in place of files. */
+    /** A source that has a single text and no files. */
     private record SingleText(String name, String text) implements ConfSource {
         @Override
         public String read(String path) throws UnreadableFileException {
@@ -91,7 +91,7 @@
     /**
      * Reads a file.
      *
-     * @param includedAt the include; null for the main file
+     * @param includedAt position of the include directive; null for the main file
      * @param blockDepth number of blocks around the include
      */
     private void readFile(String path, Position includedAt, List<Directive> into, int blockDepth)
@@ -134,7 +134,7 @@
     /**
      * Reads directives up to the end of a block or file.
      *
-     * @param open the block's opening brace; null for a file
+     * @param open position of the block's opening brace; null for a file
      */
     private void readBlock(ConfLexer lexer, Position open, List<Directive> into, int blockDepth)
             throws NginxSyntaxException {
--- a/src/main/java/cacheproxy/nginx/ConfPrinter.java
+++ b/src/main/java/cacheproxy/nginx/ConfPrinter.java
@@ -9,7 +9,7 @@
 
     private ConfPrinter() {}
 
-    /** The text of these directives; {@link ConfParser#parse} makes an equal tree of it. */
+    /** Returns the text of these directives; {@link ConfParser#parse} turns it into an equal tree. */
     public static String print(List<Directive> directives) {
         StringBuilder out = new StringBuilder();
         print(directives, "", out);
--- a/src/main/java/cacheproxy/nginx/ConfSource.java
+++ b/src/main/java/cacheproxy/nginx/ConfSource.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The files of a configuration, by paths that are absolute or relative to its prefix. */
+/** Access to the files of a configuration. Paths are absolute or relative to the configuration's prefix. */
 public interface ConfSource {
     /** A file or directory can't be read; the message says why. */
     final class UnreadableFileException extends Exception {
@@ -11,7 +11,7 @@
         /**
          * Creates the exception.
          *
-         * @param reason why the file can't be read, in words that may follow its name and a colon
+         * @param reason why the file can't be read; it is printed after the file's name and a colon
          */
         public UnreadableFileException(String reason) {
             super(reason);
@@ -21,7 +21,7 @@
     /**
      * Reads a file.
      *
-     * @return its bytes as ISO 8859-1 text: nginx's grammar is one of bytes
+     * @return its bytes as ISO 8859-1 text, because nginx's grammar is defined on bytes
      * @throws UnreadableFileException if there is no such file, or it can't be read
      */
     String read(String path) throws UnreadableFileException;
--- a/src/main/java/cacheproxy/nginx/Directive.java
+++ b/src/main/java/cacheproxy/nginx/Directive.java
@@ -4,13 +4,13 @@
 import java.util.Objects;
 
 /**
- * A directive with its parameters and its block. Parameters are as nginx gets them: without quotes, with escapes of
- * quotes, backslashes, tabs and line breaks resolved. Two directives are equal if they say the same, at any position.
+ * A directive with its parameters and its block. Parameters have the form in which nginx processes them: without
+ * quotes, with escapes of quotes, backslashes, tabs and line breaks resolved. Equality ignores the position.
  *
  * @param args the parameters, without the directive's name
  * @param block the directives between its braces; null if it ends with a semicolon
- * @param rawBlock the text of a block of another grammar (Lua); null for other directives
- * @param at where it begins
+ * @param rawBlock the text of a block in another grammar (Lua); null for other directives
+ * @param position where the directive begins
  */
 public record Directive(String name, List<String> args, List<Directive> block, String rawBlock, Position position) {
     /** Copies the lists. */
@@ -19,17 +19,17 @@
         block = block == null ? null : List.copyOf(block);
     }
 
-    /** The parameter at an index from 0; empty if there is none. */
+    /** Returns the parameter at an index, counted from 0; empty if there is none. */
     public String arg(int index) {
         return index < args.size() ? args.get(index) : "";
     }
 
-    /** The last parameter; empty if there is none. */
+    /** Returns the last parameter; empty if there is none. */
     public String lastArg() {
         return args.isEmpty() ? "" : args.get(args.size() - 1);
     }
 
-    /** The directives of a name directly in its block. */
+    /** Returns the directives with a name that are directly in this directive's block. */
     public List<Directive> childrenNamed(String childName) {
         return block == null
                 ? List.of()
@@ -38,7 +38,7 @@
                         .toList();
     }
 
-    /** The last directive of a name directly in its block; null if there is none. */
+    /** Returns the last directive with a name that is directly in this directive's block; null if there is none. */
     public Directive lastChildNamed(String childName) {
         for (int i = block == null ? -1 : block.size() - 1; i >= 0; i--) {
             if (block.get(i).name.equals(childName)) {
@@ -62,7 +62,7 @@
         return name.hashCode() * 31 + args.hashCode();
     }
 
-    /** The name and the parameters, for reports. */
+    /** Returns the name and the parameters, for reports. */
     @Override
     public String toString() {
         return args.isEmpty() ? name : name + " " + String.join(" ", args);
--- a/src/main/java/cacheproxy/nginx/NginxSyntaxException.java
+++ b/src/main/java/cacheproxy/nginx/NginxSyntaxException.java
@@ -1,6 +1,6 @@
 package cacheproxy.nginx;
 
-/** A configuration can't be read; the message begins with the file, and the line where it is known. */
+/** A configuration can't be read. The message begins with the file and, if it is known, the line. */
 public final class NginxSyntaxException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/cacheproxy/nginx/importer/Alternative.java
+++ b/src/main/java/cacheproxy/nginx/importer/Alternative.java
@@ -1,9 +1,10 @@
 package cacheproxy.nginx.importer;
 
 /**
- * One value of an expression.
+ * A value that an expression can have.
  *
- * @param conditions the conditions under which it has this value, unless an earlier alternative holds
- * @param value literals, and variables that conditions can't tell
+ * @param conditions the conditions under which the expression has this value, unless those of an earlier alternative
+ *     hold
+ * @param value literals, and variables that conditions can't resolve
  */
 record Alternative(Conditions conditions, Expression value) {}
--- a/src/main/java/cacheproxy/nginx/importer/CarpMigration.java
+++ b/src/main/java/cacheproxy/nginx/importer/CarpMigration.java
@@ -15,11 +15,11 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** Estimates which share of a pool's keys would move to another server if its placement were changed to CARP. */
+/** Estimates the share of a pool's keys that would move to another server if its placement were changed to CARP. */
 final class CarpMigration {
     private static final int MAX_SAMPLES = 10_000;
     private static final int MIN_SAMPLES = 500;
-    /** Over all pools: the more pools, the less exact is each estimate. */
+    /** Total for all pools: with more pools, each estimate is less exact. */
     private static final int TOTAL_SAMPLES = 500_000;
 
     private static final long SEED = 1;
@@ -27,7 +27,7 @@
 
     private CarpMigration() {}
 
-    /** Adds a note for each pool that has another placement. */
+    /** Adds a note for each pool whose placement is not CARP. */
     static void addNotes(Collection<PoolSpec> pools, Report report) {
         int samples = Math.max(MIN_SAMPLES, Math.min(MAX_SAMPLES, TOTAL_SAMPLES / Math.max(1, pools.size())));
         for (PoolSpec pool : pools) {
--- a/src/main/java/cacheproxy/nginx/importer/Conditions.java
+++ b/src/main/java/cacheproxy/nginx/importer/Conditions.java
@@ -6,38 +6,38 @@
 import java.util.List;
 
 /**
- * What a route requires of a request beyond its exact key or prefix.
+ * What a route requires of a request in addition to an exact key or prefix.
  *
  * @param patterns patterns that must all match the path
- * @param write whether the request is a write; null: reads and writes
- * @param share the share of keys; null: all
+ * @param write true: only writes; false: only reads; null: reads and writes
+ * @param share the share of keys that the route takes; null: all keys
  */
 record Conditions(List<String> patterns, Boolean write, SplitShare share) {
-    /** The most patterns of a route. */
+    /** The maximum number of patterns of a route. */
     static final int MAX_PATTERNS = 4;
 
-    /** No condition. */
+    /** Conditions that every request meets. */
     static final Conditions NONE = new Conditions(List.of(), null, null);
 
-    /** One pattern. */
+    /** Requires that the path matches a pattern. */
     static Conditions pattern(String pattern) {
         return new Conditions(List.of(pattern), null, null);
     }
 
-    /** Writes only, or reads only. */
+    /** Requires a write, or a read if {@code write} is false. */
     static Conditions write(boolean write) {
         return new Conditions(List.of(), write, null);
     }
 
-    /** The keys whose hash of a template is from a bound, included, to a bound, excluded. */
+    /** Requires that the hash of a template is at least {@code fromHash} and less than {@code toHash}. */
     static Conditions share(PlacementTemplate hashed, long fromHash, long toHash) {
         return new Conditions(List.of(), null, new SplitShare(hashed, fromHash, toHash));
     }
 
     /**
-     * Both conditions; null if no request meets both.
+     * Returns conditions that require both; null if no request meets both.
      *
-     * @throws UnsupportedDirectiveException if one route can't have both
+     * @throws UnsupportedDirectiveException if one route can't require both
      */
     Conditions and(Conditions other) throws UnsupportedDirectiveException {
         if (write != null && other.write != null && !write.equals(other.write)) {
@@ -69,7 +69,9 @@
         return fromHash >= toHash ? null : new SplitShare(left.template(), fromHash, toHash);
     }
 
-    /** The same with a pattern in front: a route takes its groups from its first pattern. */
+    /**
+     * Returns these conditions with a pattern moved to the front, as a route takes its groups from its first pattern.
+     */
     Conditions withFirstPattern(String pattern) {
         List<String> reordered = new ArrayList<>(patterns);
         reordered.remove(pattern);
--- a/src/main/java/cacheproxy/nginx/importer/ContentPhase.java
+++ b/src/main/java/cacheproxy/nginx/importer/ContentPhase.java
@@ -3,7 +3,7 @@
 import cacheproxy.nginx.Directive;
 import cacheproxy.nginx.model.Location;
 
-/** Follows what a location does with its requests: {@code limit_except}, {@code try_files} and passing them on. */
+/** Translates what a location does with its requests: {@code limit_except}, {@code try_files} and passing them on. */
 final class ContentPhase {
     private final ServerContext context;
     private final Report report;
@@ -19,7 +19,7 @@
         proxyPassTranslator = new ProxyPassTranslator(context);
     }
 
-    /** Ends a request in its location. */
+    /** Adds the routes of a request that has reached its final location. */
     void handle(RequestState state) {
         Directive block = state.location().directive();
         Directive limitExcept = block.lastChildNamed("limit_except");
@@ -48,7 +48,10 @@
         }
     }
 
-    /** Ends the writes that a {@code limit_except} denies, and returns the other requests; null: none. */
+    /**
+     * Adds a failing route for the writes that a {@code limit_except} denies; returns the other requests, or null if
+     * none remain.
+     */
     private RequestState endDeniedWrites(Directive limitExcept, RequestState state) {
         boolean deniesAll = limitExcept.childrenNamed("deny").stream()
                 .anyMatch(deny -> deny.arg(0).equals("all"));
@@ -80,7 +83,7 @@
         context.routes().addFailing(state, block, "404");
     }
 
-    /** Sends requests where a {@code try_files} does if there is no file. */
+    /** Sends requests to the target that a {@code try_files} uses if no file exists. */
     void tryFiles(Directive directive, RequestState state) {
         String last = directive.lastArg();
         if (last.startsWith("@")) {
--- a/src/main/java/cacheproxy/nginx/importer/DaemonConfigWriter.java
+++ b/src/main/java/cacheproxy/nginx/importer/DaemonConfigWriter.java
@@ -9,7 +9,7 @@
 /** Writes the daemon's configuration file. */
 final class DaemonConfigWriter {
     private static final double MAX_WARM_UP_MS = 3_600_000;
-    /** After which rejected clients should retry. */
+    /** The time after which rejected clients should retry. */
     private static final int RETRY_AFTER_MS = 1000;
 
     private static final String READ_CLASS = "read";
@@ -22,7 +22,7 @@
         this.options = options;
     }
 
-    /** The text of the file. */
+    /** Returns the text of the file. */
     static String write(ImportedConfig config, ImportOptions options) {
         DaemonConfigWriter writer = new DaemonConfigWriter(options);
         writer.write(config);
@@ -114,7 +114,8 @@
             toml.flag("down", true);
         }
         if (!server.backup()) {
-            toml.flag("warm", true); // it has been serving nginx; a backup has not
+            // The server has already been serving nginx's requests; a backup has not.
+            toml.flag("warm", true);
         }
     }
 
--- a/src/main/java/cacheproxy/nginx/importer/DirectiveTable.java
+++ b/src/main/java/cacheproxy/nginx/importer/DirectiveTable.java
@@ -7,25 +7,25 @@
 import java.util.Set;
 
 /**
- * Report entries for directives that no part of the importer interprets: the table in the operators' documentation.
- * Directives that are not listed are reported as unknown.
+ * Report entries for directives that the importer does not interpret. The operators' documentation contains the same
+ * table. Directives that are not listed are reported as unknown.
  */
 final class DirectiveTable {
-    /** Reasons why directives do not affect where requests go, by directive. */
+    /** Directives that do not affect where requests go, with the reason. */
     private static final Map<String, String> IGNORED = new HashMap<>();
-    /** What is missing where a directive would affect requests, by directive. */
+    /** Directives that would affect requests, with the feature that is missing here. */
     private static final Map<String, String> UNSUPPORTED = new HashMap<>();
-    /** Directives that the importer interprets where a request can reach them. */
+    /** Directives that the importer interprets if a request can reach them. */
     private static final Set<String> ROUTING_DIRECTIVES = Set.copyOf(words("""
             location if upstream set rewrite return break proxy_pass memcached_pass error_page limit_except
             server server_name listen hash ip_hash least_conn random least_time sticky
             """));
-    /** Blocks whose content is not made of directives of their own. */
+    /** Blocks whose content is not reported directive by directive. */
     private static final Set<String> OPAQUE_BLOCKS =
             Set.of("map", "geo", "split_clients", "types", "events", "stream", "mail", "limit_except", "charset_map");
     /** Blocks that define variables. */
     private static final Set<String> VARIABLE_BLOCKS = Set.of("map", "geo", "split_clients");
-    /** Beginnings of the names of modules' directives for other protocols and programs. */
+    /** Name prefixes of directives of modules for other protocols and programs. */
     private static final List<String> OTHER_PROTOCOL_PREFIXES =
             List.of("js_", "perl", "fastcgi_", "uwsgi_", "scgi_", "grpc_");
 
@@ -126,15 +126,15 @@
         words(names).forEach(name -> UNSUPPORTED.put(name, reason));
     }
 
-    /** Whether a directive is reported together with all that is in its block. */
+    /** Whether a directive and everything in its block are reported as one. */
     static boolean isReportedWithBlock(Directive directive) {
         return OPAQUE_BLOCKS.contains(directive.name()) || directive.rawBlock() != null;
     }
 
     /**
-     * The entry of a directive that has none.
+     * Returns the entry of a directive for which no other part of the importer has added one.
      *
-     * @param withinNotCarried whether a block around it was not carried over
+     * @param withinNotCarried whether an enclosing block was not carried over
      */
     static Report.Entry defaultEntry(Directive directive, boolean withinNotCarried) {
         String name = directive.name();
--- a/src/main/java/cacheproxy/nginx/importer/Durations.java
+++ b/src/main/java/cacheproxy/nginx/importer/Durations.java
@@ -3,7 +3,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as nginx writes them: {@code 1m 30s}, {@code 500ms}, {@code 10} for seconds. */
+/** Parses durations in nginx's notation: {@code 1m 30s}, {@code 500ms}, or {@code 10} for seconds. */
 final class Durations {
     private static final Pattern PART = Pattern.compile("([0-9]+)(ms|s|m|h|d|w|M|y)?\\s*");
     private static final double SECOND_MS = 1000;
@@ -13,7 +13,7 @@
 
     private Durations() {}
 
-    /** A duration in milliseconds; -1 if the text is none. */
+    /** Returns a duration in milliseconds; -1 if the text is not a duration. */
     static double parseMs(String text) {
         Matcher part = PART.matcher(text);
         double sumMs = 0;
--- a/src/main/java/cacheproxy/nginx/importer/Expression.java
+++ b/src/main/java/cacheproxy/nginx/importer/Expression.java
@@ -12,16 +12,16 @@
     /**
      * A literal text or a variable.
      *
-     * @param variable whether {@code text} is a variable's name, without its dollar
+     * @param variable whether {@code text} is the name of a variable, without its dollar sign
      */
     record Part(boolean variable, String text) {
-        /** Whether it is one of these variables. */
+        /** Whether this part is one of these variables. */
         boolean isVariable(String... names) {
             return variable && List.of(names).contains(text);
         }
     }
 
-    /** Parses a parameter. A dollar that no name follows is a literal one. */
+    /** Parses a parameter. A dollar sign that is not followed by a name is literal text. */
     static Expression of(String text) {
         List<Part> parts = new ArrayList<>();
         StringBuilder literal = new StringBuilder();
@@ -36,7 +36,7 @@
             }
             boolean braced = text.charAt(next + 1) == '{';
             if (!braced && Character.isDigit(text.charAt(nameStart))) {
-                nameEnd = nameStart + 1; // groups have one digit: "$12" is the first group and a 2
+                nameEnd = nameStart + 1; // groups have one digit: "$12" is the first group followed by "2"
             }
             addLiteral(literal, parts);
             parts.add(new Part(true, text.substring(nameStart, nameEnd)));
@@ -61,7 +61,7 @@
         }
     }
 
-    /** An expression of these parts, with adjacent literals joined. */
+    /** Returns an expression of these parts, with adjacent literals joined. */
     static Expression joined(List<Part> parts) {
         List<Part> joined = new ArrayList<>();
         for (Part part : parts) {
@@ -75,22 +75,22 @@
         return new Expression(joined);
     }
 
-    /** Whether it has no variable. */
+    /** Whether the expression has no variables. */
     boolean isLiteral() {
         return parts.stream().noneMatch(Part::variable);
     }
 
-    /** Its text; meant for literal expressions. */
+    /** Returns the text of a literal expression. */
     String literal() {
         return parts.stream().map(Part::text).collect(Collectors.joining());
     }
 
-    /** Whether it is one of these variables and nothing else. */
+    /** Whether the expression consists of exactly one variable, which is one of these. */
     boolean isVariable(String... names) {
         return parts.size() == 1 && parts.get(0).isVariable(names);
     }
 
-    /** The literal text that it begins with; empty if it begins with a variable. */
+    /** Returns the literal text before the first variable; empty if the expression begins with a variable. */
     String literalPrefix() {
         return parts.isEmpty() || parts.get(0).variable ? "" : parts.get(0).text;
     }
--- a/src/main/java/cacheproxy/nginx/importer/ExpressionResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/ExpressionResolver.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * Resolves expressions to the values that they can have: alternatives, of which the first whose conditions hold counts.
- * The last alternative requires nothing that is not required anyway.
+ * Resolves expressions to a list of alternative values. The first alternative whose conditions hold gives the value.
+ * The last one adds no conditions to those that the request already meets.
  */
 final class ExpressionResolver {
-    /** The most variables within each other's values. */
+    /** The maximum depth of variables that are defined by other variables. */
     static final int MAX_DEPTH = 8;
 
     private static final int MAX_ALTERNATIVES = 2000;
@@ -30,7 +30,7 @@
     /**
      * Resolves an expression.
      *
-     * @throws UnsupportedDirectiveException if it has too many values, or routes can't express their conditions
+     * @throws UnsupportedDirectiveException if it has too many values, or if routes can't express their conditions
      */
     List<Alternative> resolve(Expression expression, VariableScope scope) throws UnsupportedDirectiveException {
         if (scope.depth() > MAX_DEPTH) {
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Resolves the value of a variable, for requests that meet these conditions.
+     * Resolves the value of a variable for requests that meet these conditions.
      *
-     * @param scope that of the variable
+     * @param scope the scope of the variable
      */
     List<Alternative> resolveValue(String text, Conditions conditions, VariableScope scope)
             throws UnsupportedDirectiveException {
--- a/src/main/java/cacheproxy/nginx/importer/FallbackTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/FallbackTranslator.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Translates {@code error_page}s that pass requests to other servers when all of a pool have failed. */
+/** Translates {@code error_page}s that pass requests to other servers when all servers of a pool have failed. */
 final class FallbackTranslator {
-    /** Statuses that nginx answers if no server has answered. */
+    /** Statuses with which nginx answers if no server has answered. */
     private static final Set<String> UNANSWERED_STATUSES = Set.of("502", "503", "504");
 
     private static final String LITERAL_AUTHORITY_URL = "https?://[^/$]+";
@@ -21,10 +21,10 @@
     }
 
     /**
-     * The pool that takes what another fails to answer.
+     * Returns the pool that takes the requests that another pool fails to answer.
      *
      * @param pool the name of the pool that fails
-     * @return its name; null if there is none
+     * @return the name of the fallback pool; null if there is none
      */
     String fallbackPool(Location location, String pool) {
         String fallback = null;
@@ -48,7 +48,7 @@
         return fallback;
     }
 
-    /** The {@code error_page}s of a location: its own, or those of the next location around it that has any. */
+    /** Returns the {@code error_page}s of a location: its own, or those of the nearest enclosing block that has any. */
     private List<Directive> errorPages(Location location) {
         for (Location level = location; level != null; level = level.parent()) {
             List<Directive> own = level.directive().childrenNamed("error_page");
@@ -59,7 +59,7 @@
         return context.errorPages();
     }
 
-    /** The {@code proxy_pass} of an error page's named location; null, after an entry in the report, if it has none. */
+    /** Returns the {@code proxy_pass} of an error page's named location; reports and returns null if there is none. */
     private Directive fallbackPass(Directive errorPage) {
         String target = errorPage.lastArg();
         boolean coversUnanswered = errorPage.args().stream().anyMatch(UNANSWERED_STATUSES::contains);
--- a/src/main/java/cacheproxy/nginx/importer/ForwardedPath.java
+++ b/src/main/java/cacheproxy/nginx/importer/ForwardedPath.java
@@ -3,10 +3,10 @@
 /**
  * How a path is forwarded to a pool.
  *
- * @param conditions the route's conditions; the pattern whose groups the rewrite uses is the first
+ * @param conditions the route's conditions; the first pattern is the one whose groups the rewrite uses
  */
 record ForwardedPath(PathRewrite rewrite, Conditions conditions) {
-    /** The path as it came in. */
+    /** Returns the path as received from the client. */
     static ForwardedPath unchanged(Conditions conditions) {
         return new ForwardedPath(PathRewrite.NONE, conditions);
     }
--- a/src/main/java/cacheproxy/nginx/importer/ForwardedPathTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/ForwardedPathTranslator.java
@@ -5,14 +5,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Translates what a {@code proxy_pass} makes of a path. */
+/** Determines the path that a {@code proxy_pass} sends to the pool. */
 final class ForwardedPathTranslator {
     /**
      * Translates the path of one route.
      *
-     * @param uri the path of the URL; empty if it has none
-     * @param hasVariables whether the URL was written with variables: its path is then the whole new path
-     * @return null if routes can't express it
+     * @param uri the path of the URL; empty if the URL has none
+     * @param hasVariables whether the URL was written with variables; its path is then the whole new path
+     * @return null if routes can't express the path
      */
     ForwardedPath translate(Expression uri, boolean hasVariables, RequestState state) {
         boolean hasUri = !uri.parts().isEmpty();
@@ -23,7 +23,8 @@
             return hasUri ? rewrittenWithPrefix(uri, state) : rewritten(state.rewritten(), state.conditions());
         }
         String prefix = state.location().text();
-        boolean changes = hasUri && !uri.literal().equals(prefix); // not "location /a/" with "proxy_pass http://u/a/"
+        // "location /a/" with "proxy_pass http://u/a/" changes nothing.
+        boolean changes = hasUri && !uri.literal().equals(prefix);
         return changes
                 ? new ForwardedPath(
                         PathRewrite.ofPrefix(PathKey.encodePercent(prefix), uri.literal()), state.conditions())
@@ -37,12 +38,11 @@
                 : new ForwardedPath(PathRewrite.replaced(replacement), rewritten.withPatternFirst(conditions));
     }
 
-    /** A rewritten path with the URL's path in place of the location's prefix. */
+    /** Replaces the location's prefix in a rewritten path by the URL's path. */
     private static ForwardedPath rewrittenWithPrefix(Expression uri, RequestState state) {
         RewrittenPath rewritten = state.rewritten();
         if (rewritten.search() == RewrittenPath.Search.SKIPPED) {
-            return rewritten(
-                    rewritten, state.conditions()); // changed within the location: the URL's path does not count
+            return rewritten(rewritten, state.conditions()); // changed within the location: the URL's path is ignored
         }
         Location location = state.location();
         String head = rewritten.path().literalPrefix();
@@ -57,7 +57,8 @@
     }
 
     private static ForwardedPath pathFromVariables(Expression uri, RequestState state) {
-        // The query is kept with the key, or has no part in it.
+        // Variables of the query are dropped: the rewrite keeps the query if keys contain it, and otherwise there is
+        // none.
         List<Expression.Part> parts = uri.parts().stream()
                 .filter(part -> !part.variable() || !PathVariables.isQuery(part.text()))
                 .toList();
--- a/src/main/java/cacheproxy/nginx/importer/HostTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/HostTranslator.java
@@ -16,8 +16,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Makes virtual hosts of servers, and has the routes of each translated. A server whose routes depend on the host gets
- * a virtual host for each host that the configuration names in full.
+ * Translates servers to virtual hosts, and calls {@link RouteTranslator} for the routes of each. A server whose routes
+ * depend on the host gets a separate virtual host for each host that the configuration names in full.
  */
 final class HostTranslator {
     private static final Pattern HOST_CONDITION =
@@ -34,7 +34,7 @@
 
     private final List<VirtualHosts.Host> hosts = new ArrayList<>();
     private final Set<String> takenHostNames = new HashSet<>();
-    /** Server names that an earlier server has, by listener. */
+    /** The server names of earlier servers, by listener. */
     private final Map<String, Set<String>> takenServerNames = new HashMap<>();
 
     HostTranslator(
@@ -49,7 +49,7 @@
     /**
      * Translates all servers.
      *
-     * @param hostInKeys whether keys tell the host
+     * @param hostInKeys whether keys contain the host
      */
     List<VirtualHosts.Host> translate(boolean hostInKeys) {
         Set<String> knownHosts = hostInKeys ? hostsNamedInFull() : Set.of();
@@ -77,7 +77,7 @@
     /**
      * Translates a server.
      *
-     * @param dedicatedHosts hosts that get routes of their own
+     * @param dedicatedHosts hosts that get separate routes
      */
     private void translate(ServerBlock server, Set<String> serverListeners, List<String> dedicatedHosts) {
         List<String> names = serverNames(server, serverListeners);
@@ -103,7 +103,7 @@
         }
     }
 
-    /** The names of a server that routes can have and no earlier server has. */
+    /** Returns the names of a server that virtual hosts can have and that no earlier server has. */
     private List<String> serverNames(ServerBlock server, Set<String> serverListeners) {
         List<String> names = new ArrayList<>();
         for (String name : server.names()) {
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Whether a name is taken on a listener; it is taken afterwards on those before it. */
+    /** Whether a name is taken on one of these listeners; marks it as taken on the listeners that were checked. */
     private boolean isTaken(String name, Set<String> serverListeners) {
         return serverListeners.stream()
                 .anyMatch(listener -> !takenServerNames
@@ -143,7 +143,7 @@
                         .add(name));
     }
 
-    /** The name of a server's virtual host: its first name, or its line. */
+    /** Returns the name of a server's virtual host: the server's first name, or one made of its line number. */
     private String hostName(ServerBlock server) {
         String name = server.names().isEmpty() ? "" : server.names().get(0);
         if (!Names.isValid(name) || name.startsWith("~")) {
@@ -152,9 +152,9 @@
         return Names.unique(name, takenHostNames);
     }
 
-    // ---- which hosts are known
+    // ---- hosts that are known by name
 
-    /** All hosts that a server, a map or a condition names in full. */
+    /** Returns all hosts that a server, a map or a condition names in full. */
     private Set<String> hostsNamedInFull() {
         Set<String> named = new LinkedHashSet<>();
         model.servers()
@@ -191,7 +191,7 @@
         }
     }
 
-    /** The servers as nginx finds them by host, each called by its index. */
+    /** Returns the servers as virtual hosts for nginx's search by host; each one is named after its index. */
     private List<VirtualHosts.Host> hostsByServerIndex() {
         List<VirtualHosts.Host> byIndex = new ArrayList<>();
         for (int i = 0; i < model.servers().size(); i++) {
--- a/src/main/java/cacheproxy/nginx/importer/IfCondition.java
+++ b/src/main/java/cacheproxy/nginx/importer/IfCondition.java
@@ -6,9 +6,9 @@
  * The condition of an {@code if}.
  *
  * @param text the condition without its parentheses
- * @param left the variable, or anything else if it compares none
- * @param operator such as {@code =} or {@code !~*}; null: whether the variable has a value
- * @param right what the variable is compared with, without quotes; null if there is none
+ * @param left the variable; any other text if the condition tests no variable
+ * @param operator such as {@code =} or {@code !~*}; null: the condition tests whether the variable has a value
+ * @param right the text or pattern to compare with, without quotes; null if there is none
  */
 record IfCondition(String text, String left, String operator, String right) {
     /** Parses the parameters of an {@code if}. */
@@ -22,17 +22,17 @@
                 text, words[0], words.length > 1 ? words[1] : null, words.length > 2 ? unquoted(words[2]) : null);
     }
 
-    /** Whether it compares a variable, and is complete. */
+    /** Whether the condition tests a variable and is complete. */
     boolean isComparison() {
         return left.startsWith("$") && (operator == null || right != null);
     }
 
-    /** Whether it has an operator. */
+    /** Whether the condition has an operator. */
     boolean hasOperator() {
         return operator != null;
     }
 
-    /** Whether the operator is the negation of another. */
+    /** Whether the operator is negated. */
     boolean isNegated() {
         return operator.startsWith("!");
     }
@@ -42,12 +42,12 @@
         return operator.equals("=") || operator.equals("!=");
     }
 
-    /** Whether the operator compares with a pattern. */
+    /** Whether the operator matches a pattern. */
     boolean isMatch() {
         return operator.matches("!?~\\*?");
     }
 
-    /** The pattern that it compares with. */
+    /** Returns the pattern of the condition. */
     RegexTranslation regex() {
         return RegexTranslation.of(right, operator.endsWith("*"));
     }
--- a/src/main/java/cacheproxy/nginx/importer/IfTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/IfTranslator.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Follows {@code if}: both ways where the condition depends on the request, else the one that is taken. */
+/** Translates {@code if}: follows both branches if the condition depends on the request, otherwise the one taken. */
 final class IfTranslator {
     private static final List<String> READ_METHODS = List.of("GET", "HEAD");
     private static final List<String> WRITE_METHODS = List.of("POST", "PUT", "DELETE", "PATCH");
@@ -22,18 +22,18 @@
     }
 
     /**
-     * What a condition requires of a request.
+     * The requirement that a condition makes of a request.
      *
-     * @param negated whether it holds if the conditions are not met
-     * @param captures the pattern whose groups are set if it holds; null: none
+     * @param negated whether the condition holds if the request does not meet {@code conditions}
+     * @param captures the pattern whose groups are set if the condition holds; null: none
      */
     private record Requirement(Conditions conditions, boolean negated, String captures) {}
 
     /**
-     * The two ways on from an {@code if}.
+     * The two branches of an {@code if}.
      *
-     * @param taken the directives of its block and those after it
-     * @param skipped the directives after it
+     * @param taken the directives of its block and those after the {@code if}
+     * @param skipped the directives after the {@code if}
      * @param handler the {@code proxy_pass} of its block; null: none
      */
     private record Branches(List<Directive> taken, List<Directive> skipped, Directive handler) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Follows an {@code if} and the directives after it. */
+    /** Translates an {@code if} and the directives after it. */
     void translate(Directive directive, List<Directive> rest, RequestState state) throws UnsupportedDirectiveException {
         IfCondition condition = IfCondition.of(directive);
         List<Alternative> values =
@@ -119,7 +119,7 @@
         rewritePhase.run(branches.skipped, state);
     }
 
-    /** Whether a condition holds for a known value; one that can't be expressed does not. */
+    /** Whether a condition holds for a known value; a condition that can't be expressed does not hold. */
     private boolean holds(String value, IfCondition condition, Directive directive) {
         if (!condition.hasOperator()) {
             return !value.isEmpty() && !value.equals("0");
@@ -139,7 +139,7 @@
         return new KeyPattern(regex.text()).matches(value) != condition.isNegated();
     }
 
-    /** What a condition on the method or the path requires; null if routes can't require it. */
+    /** Returns what a condition on the method or the path requires; null if routes can't express it. */
     private Requirement requirement(Expression left, IfCondition condition, Directive directive) {
         if (left.isVariable("request_method")) {
             return methodRequirement(condition, directive);
--- a/src/main/java/cacheproxy/nginx/importer/ImportedConfig.java
+++ b/src/main/java/cacheproxy/nginx/importer/ImportedConfig.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * What an import has made, to be written.
+ * The result of an import, before it is written as a file.
  *
  * @param listeners names of the listeners
- * @param routes in the order of the file, without those that no request reaches
- * @param warmUpMs how long servers warm up; 0: not at all
+ * @param routes the routes in the order of the file, without those that no request reaches
+ * @param warmUpMs how long servers warm up, in milliseconds; 0: servers do not warm up
  */
 record ImportedConfig(
         KeyFormat keys,
--- a/src/main/java/cacheproxy/nginx/importer/Importer.java
+++ b/src/main/java/cacheproxy/nginx/importer/Importer.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Translates a configuration into the daemon's file, with a report in which every directive has an entry. */
+/** Translates a configuration into the daemon's file, and makes a report in which every directive has an entry. */
 public final class Importer {
     /**
      * The result of an import.
@@ -81,7 +81,7 @@
         faults.forEach(fault -> report.notCarried(fault.directive(), fault.reason()));
     }
 
-    /** Whether keys must tell the host: a socket has several servers, or something depends on the host. */
+    /** Whether keys must contain the host: a socket has several servers, or routes or placements depend on the host. */
     private boolean needsHostInKeys() {
         Set<String> sockets = new HashSet<>();
         for (ServerBlock server : model.servers()) {
@@ -105,7 +105,7 @@
                                 && usage.dependsOnQuery(share.template().text()));
     }
 
-    /** Drops routes that no request reaches: the daemon rejects a file with such routes. */
+    /** Removes routes that no request reaches, because the daemon rejects a file with such routes. */
     private void removeUnreachableRoutes() {
         List<Route> matchingRoutes = new ArrayList<>();
         for (RouteSpec route : routes) {
--- a/src/main/java/cacheproxy/nginx/importer/ListenerTable.java
+++ b/src/main/java/cacheproxy/nginx/importer/ListenerTable.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The listeners, one for each socket, and the default server of each. */
+/** The listeners, one for each socket, and the default server of each listener. */
 final class ListenerTable {
     private final Report report;
     /** Names of listeners by socket, in the order of the file. */
@@ -28,12 +28,12 @@
         }
     }
 
-    /** Names of all listeners, in order. */
+    /** Returns the names of all listeners, in order. */
     Collection<String> names() {
         return Collections.unmodifiableCollection(nameBySocket.values());
     }
 
-    /** Names of the listeners of a server; empty if it has none that is imported. */
+    /** Returns the names of a server's listeners; empty if none of its sockets is imported. */
     Set<String> of(ServerBlock server) {
         Set<String> names = new LinkedHashSet<>();
         for (ServerBlock.Listen listen : server.listens()) {
@@ -44,8 +44,11 @@
         return names;
     }
 
-    /** Names of the listeners of which a server is the default: it takes requests for hosts that no server names. */
-    @SuppressWarnings("ReferenceEquality") // identity is meant
+    /**
+     * Returns the names of the listeners whose default is this server; it takes requests for hosts that no server
+     * names.
+     */
+    @SuppressWarnings("ReferenceEquality") // compares identity on purpose
     Set<String> defaultOf(ServerBlock server) {
         Set<String> names = new LinkedHashSet<>();
         for (ServerBlock.Listen listen : server.listens()) {
@@ -81,7 +84,9 @@
                         || listen.directive().args().contains("quic"));
     }
 
-    /** Makes a server the default in place of the first one of its socket, unless that is marked, too. */
+    /**
+     * Makes a server the default instead of the socket's first server, unless that one is marked as the default, too.
+     */
     private void setMarkedDefault(ServerBlock server, ServerBlock.Listen listen) {
         String socket = listen.socket();
         boolean alreadyMarked = defaultServerBySocket.get(socket).listens().stream()
--- a/src/main/java/cacheproxy/nginx/importer/LocationPatterns.java
+++ b/src/main/java/cacheproxy/nginx/importer/LocationPatterns.java
@@ -3,7 +3,7 @@
 import cacheproxy.nginx.model.Location;
 import java.util.IdentityHashMap;
 
-/** The translated patterns of locations; those that can't be translated are reported. */
+/** Translates the patterns of locations once each, and reports those that can't be translated. */
 final class LocationPatterns {
     private final Report report;
     private final IdentityHashMap<Location, RegexTranslation> translations = new IdentityHashMap<>();
@@ -12,7 +12,7 @@
         this.report = report;
     }
 
-    /** The pattern of a location; null if routes can't express it. */
+    /** Returns the pattern of a location; null if routes can't express it. */
     String of(Location location) {
         return translations.computeIfAbsent(location, this::translate).text();
     }
--- a/src/main/java/cacheproxy/nginx/importer/LocationPhase.java
+++ b/src/main/java/cacheproxy/nginx/importer/LocationPhase.java
@@ -6,7 +6,7 @@
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.PathKey;
 
-/** Follows the search for a location, for paths as they came in and for rewritten ones. */
+/** Translates the search for a location, both for paths as received and for rewritten paths. */
 final class LocationPhase {
     private static final String EVERY_PATH = "/";
 
@@ -24,7 +24,7 @@
         rewrittenPathSearch = new RewrittenPathSearch(context);
     }
 
-    /** Goes on with a request after the rewrite directives of its server or location. */
+    /** Continues with a request after the rewrite directives of its server or location. */
     void afterRewrite(RequestState state) {
         RewrittenPath rewritten = state.rewritten();
         if (state.location() == null) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Goes on with a rewritten path in the location that nginx finds for it. */
+    /** Continues with a request in the location that nginx finds for its rewritten path. */
     void searchRewrittenPath(RequestState state) {
         RewrittenPath rewritten = state.rewritten();
         Directive directive = state.location() == null
@@ -71,7 +71,7 @@
                         .redirectedTo(found, captures));
     }
 
-    /** Goes on with a request in each of the server's locations. */
+    /** Continues with a request in each of the server's locations. */
     private void searchIncomingPath(RequestState state) {
         int firstOrder = context.routes().reserveOrders();
         boolean complete = false;
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Conditions of a step beyond its path; null if no request can meet them, or routes can't express them. */
+    /** Returns the conditions of a step besides its path; null if no request can meet or no route can express them. */
     private Conditions conditions(LocationSearch.Step step, Conditions outer) {
         Conditions conditions = outer;
         for (Location regex : step.regexes()) {
@@ -128,7 +128,9 @@
         }
     }
 
-    /** Ends requests that no location takes, or has the server's {@code try_files} take them. */
+    /**
+     * Translates the requests that no location takes: the server's {@code try_files} takes them, otherwise they fail.
+     */
     private void failUnmatched(RequestState state, int order) {
         RequestState unmatched = new RequestState(
                 RoutePosition.ofAllKeys(order), state.conditions(), null, state.variables(), null, null, null, 0);
--- a/src/main/java/cacheproxy/nginx/importer/MapResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/MapResolver.java
@@ -7,7 +7,7 @@
 
 /** Resolves variables that a {@code map} defines. */
 final class MapResolver {
-    /** A text that no entry of a map has. */
+    /** A text that is in no entry of a map. */
     private static final String UNKNOWN_TEXT = "\0";
 
     private final ExpressionResolver resolver;
@@ -56,7 +56,7 @@
     private List<Alternative> valuesByPath(MapTable table, VariableScope scope) throws UnsupportedDirectiveException {
         List<Alternative> values = new ArrayList<>();
         for (Directive entry : table.literalEntries()) {
-            // Texts are compared without regard to case, and keys hold some characters percent-encoded.
+            // nginx ignores case when it compares texts; keys contain some characters percent-encoded.
             String text = PathKey.encodePercent(MapTable.literalText(entry));
             Conditions conditions = Conditions.pattern("(?i)^" + RegexTranslation.quoted(text) + "$");
             values.addAll(resolver.resolveValue(entry.arg(0), conditions, scope));
--- a/src/main/java/cacheproxy/nginx/importer/MapTable.java
+++ b/src/main/java/cacheproxy/nginx/importer/MapTable.java
@@ -10,41 +10,45 @@
 record MapTable(Directive map) {
     private static final Set<String> OPTIONS = Set.of("default", "hostnames", "volatile");
 
-    /** Added to the rank of masks at the front, which are preferred to any at the end. */
+    /** Added to the rank of leading wildcards, which are preferred to all trailing wildcards. */
     private static final int LEADING_WILDCARD_RANK = 1000;
 
     private static final int NO_MATCH = -1;
 
-    /** Entries that compare the whole text. */
+    /** Returns the entries that compare the whole text. */
     List<Directive> literalEntries() {
         return map.block().stream()
                 .filter(entry -> !OPTIONS.contains(entry.name()) && !isRegex(entry))
                 .toList();
     }
 
-    /** Entries with a pattern. */
+    /** Returns the entries with a pattern. */
     List<Directive> regexEntries() {
         return map.block().stream().filter(MapTable::isRegex).toList();
     }
 
-    /** The text that a literal entry compares: a backslash marks a text that would be an option or pattern. */
+    /**
+     * Returns the text that a literal entry compares; a backslash marks a text that would be an option or a pattern.
+     */
     static String literalText(Directive entry) {
         return entry.name().startsWith("\\") ? entry.name().substring(1) : entry.name();
     }
 
-    /** The value for texts that no entry matches. */
+    /** Returns the value for texts that no entry matches. */
     String defaultValue() {
         Directive entry = map.lastChildNamed("default");
         return entry == null ? "" : entry.arg(0);
     }
 
-    /** Whether hosts are matched by more than their whole names. */
+    /** Whether any entry matches hosts by a pattern or wildcard. */
     boolean matchesHostsByPattern() {
         return map.block().stream()
                 .anyMatch(entry -> isRegex(entry) || entry.name().contains("*"));
     }
 
-    /** The value for a known text: that of an equal entry, else of a mask, of the first pattern, or the default. */
+    /**
+     * Returns the value for a known text: of an equal entry, else of a wildcard, of the first pattern, or the default.
+     */
     String lookUp(String text) {
         for (Directive entry : literalEntries()) {
             if (literalText(entry).equalsIgnoreCase(text)) {
@@ -80,7 +84,10 @@
         return found;
     }
 
-    /** The rank of a mask that matches a host: of those at the front or at the end the longest is preferred. */
+    /**
+     * Returns the rank of a wildcard that matches a host; among leading, and among trailing ones, the longest is
+     * preferred.
+     */
     private static int wildcardRank(String wildcard, String host) {
         boolean matchesEnd =
                 wildcard.startsWith("*.") && host.endsWith(wildcard.substring(1)) && host.length() >= wildcard.length();
--- a/src/main/java/cacheproxy/nginx/importer/Names.java
+++ b/src/main/java/cacheproxy/nginx/importer/Names.java
@@ -2,17 +2,17 @@
 
 import java.util.Set;
 
-/** Names in the imported file. */
+/** Validates and makes names of the imported file. */
 final class Names {
-    /** The longest name of a pool, server or host. */
+    /** The maximum length of the name of a pool, server or host. */
     private static final int MAX_LENGTH = 64;
 
-    /** Leaves room for a number that makes a name unique. */
+    /** The maximum length without the number that makes a name unique. */
     private static final int MAX_BASE_LENGTH = 56;
 
     private Names() {}
 
-    /** Whether a text may be the name of a pool or server. */
+    /** Whether a text can be the name of a pool or server. */
     static boolean isValid(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_LENGTH
@@ -21,7 +21,7 @@
                                 character > ' ' && character <= '~' && character != ',' && character != '=');
     }
 
-    /** Adds a name made of a text to those taken, with a number if it is one of them. */
+    /** Makes a name of a text and adds it to the names taken; appends a number if the name is already taken. */
     static String unique(String text, Set<String> taken) {
         String valid = text.replaceAll("[^!-~]|[,=]", "_");
         String base = valid.length() > MAX_BASE_LENGTH ? valid.substring(0, MAX_BASE_LENGTH) : valid;
--- a/src/main/java/cacheproxy/nginx/importer/PathTemplates.java
+++ b/src/main/java/cacheproxy/nginx/importer/PathTemplates.java
@@ -3,7 +3,7 @@
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.PathKey;
 
-/** Paths of literals and groups of a pattern, as templates of routes. */
+/** Converts paths that consist of literals and groups of a pattern to templates of routes. */
 final class PathTemplates {
     private static final int MAX_GROUP = 9;
     private static final String NAMED_GROUP = "(?P<";
@@ -11,7 +11,7 @@
     private PathTemplates() {}
 
     /**
-     * A path as the {@code replace} of a route.
+     * Returns a path as the {@code replace} template of a route.
      *
      * @param pattern the pattern that has the groups; null: none
      * @return null if the path has other variables
@@ -32,7 +32,7 @@
         return template.toString();
     }
 
-    /** The same path as a part of what a placement hashes, in which nothing is percent-encoded. */
+    /** Returns a path as part of a placement template, in which nothing is percent-encoded. */
     static String placementText(Expression path, String pattern) {
         StringBuilder template = new StringBuilder();
         for (Expression.Part part : path.parts()) {
@@ -44,7 +44,7 @@
         return template.toString();
     }
 
-    /** The number of a group that a variable names; 0 if there is none. */
+    /** Returns the number of the group that a variable names; 0 if there is none. */
     private static int group(String name, String pattern) {
         if (name.matches("[1-9]")) {
             return Integer.parseInt(name);
--- a/src/main/java/cacheproxy/nginx/importer/PathVariables.java
+++ b/src/main/java/cacheproxy/nginx/importer/PathVariables.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 
-/** Variables that stand for the path or the query of a request. */
+/** Variables whose value is the path or the query of a request. */
 final class PathVariables {
     private static final Set<String> PATH = Set.of("uri", "request_uri", "document_uri");
     private static final Set<String> QUERY = Set.of("is_args", "args", "query_string");
--- a/src/main/java/cacheproxy/nginx/importer/PlacementText.java
+++ b/src/main/java/cacheproxy/nginx/importer/PlacementText.java
@@ -2,13 +2,15 @@
 
 import cacheproxy.routes.PlacementTemplate;
 
-/** Texts of routes' placement templates for what nginx hashes. */
+/** Converts what nginx hashes to the placement templates of routes. */
 final class PlacementText {
     private static final String ARGUMENT_PREFIX = "arg_";
 
     private PlacementText() {}
 
-    /** The template of an expression; null if it is too long or keys don't tell one of its variables. */
+    /**
+     * Returns the template of an expression; null if it is too long or has a variable that can't be known from keys.
+     */
     static String of(Expression expression) {
         StringBuilder out = new StringBuilder();
         for (Expression.Part part : expression.parts()) {
--- a/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes pools of upstreams, and of addresses that requests are passed to without an upstream. */
+/** Translates upstreams to pools, and makes pools for addresses to which requests are passed without an upstream. */
 final class PoolTranslator {
     private static final String KEY_TEMPLATE = "${key}";
 
@@ -20,7 +20,7 @@
     private final ServerAddresses addresses;
     private final UpstreamServers servers;
     private final Map<String, PoolSpec> pools = new LinkedHashMap<>();
-    /** Pools by what {@code proxy_pass} names; null values for those that can't be used. */
+    /** Pools by the authority in {@code proxy_pass}; the value is null if the pool can't be used. */
     private final Map<String, PoolSpec> poolByAuthority = new HashMap<>();
 
     PoolTranslator(ImportOptions options, Report report) {
@@ -29,17 +29,17 @@
         servers = new UpstreamServers(addresses, report);
     }
 
-    /** The pools so far, in order. */
+    /** Returns the pools made so far, in order. */
     Collection<PoolSpec> pools() {
         return Collections.unmodifiableCollection(pools.values());
     }
 
-    /** The longest {@code slow_start} of all servers, in milliseconds; 0 if there is none. */
+    /** Returns the longest {@code slow_start} of all servers, in milliseconds; 0 if there is none. */
     double slowStartMs() {
         return servers.slowStartMs();
     }
 
-    /** Makes the pool of an upstream, unless none of its servers can be used. */
+    /** Makes the pool of an upstream, unless its name is not valid or none of its servers can be used. */
     void translate(UpstreamBlock upstream) {
         report.carried(upstream.directive());
         String hashTemplate = hashTemplate(upstream);
@@ -75,14 +75,14 @@
         return method == Method.HASH ? PlacementRegistry.NGINX_HASH : PlacementRegistry.NGINX_CONSISTENT;
     }
 
-    /** The template of what an upstream hashes; null if it hashes nothing that keys tell. */
+    /** Returns the template of what an upstream hashes; null if it hashes nothing that can be known from keys. */
     private static String hashTemplate(UpstreamBlock upstream) {
         if (!isHash(upstream.method()) || upstream.key().isEmpty()) {
             return null;
         }
         List<Expression.Part> parts = new ArrayList<>();
         for (Expression.Part part : Expression.of(upstream.key()).parts()) {
-            // The host that requests are passed to is the upstream's name.
+            // $proxy_host, the host to which requests are passed, is the upstream's name.
             parts.add(part.isVariable("proxy_host") ? new Expression.Part(false, upstream.name()) : part);
         }
         return PlacementText.of(Expression.joined(parts));
@@ -116,9 +116,9 @@
     }
 
     /**
-     * The pool that a {@code proxy_pass} names, made if it is an address.
+     * Returns the pool that a {@code proxy_pass} names; creates it if the authority is an address.
      *
-     * @return null, after an entry in the report, if there is none
+     * @return null if there is none, which is reported
      */
     PoolSpec poolFor(String authority, Directive directive) {
         if (poolByAuthority.containsKey(authority)) {
--- a/src/main/java/cacheproxy/nginx/importer/ProxyPassTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/ProxyPassTranslator.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes routes to pools of {@code proxy_pass} and {@code memcached_pass}. */
+/** Translates {@code proxy_pass} and {@code memcached_pass} to routes. */
 final class ProxyPassTranslator {
     private static final String URI_TEMPLATE = "${uri}";
 
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Makes the routes of a directive.
+     * Adds the routes of a directive.
      *
-     * @param target the URL that requests are passed to
-     * @param usesUri whether the path of the URL replaces that of the request
+     * @param target the URL to which requests are passed
+     * @param usesUri whether the path of the URL replaces the path of the request
      */
     void translate(Directive directive, Expression target, boolean usesUri, RequestState state) {
         List<Alternative> targets;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Makes the route to one target, in which no variables are left that conditions could tell. */
+    /** Adds the route to one target, whose variables are resolved as far as conditions allow. */
     private void addRouteTo(
             Directive directive, Expression target, boolean hasVariables, boolean usesUri, RequestState state) {
         ProxyTarget parsed = ProxyTarget.parse(target);
@@ -101,7 +101,7 @@
         context.routes().addForwarding(state, directive, path, pools, placeBy);
     }
 
-    /** The path that the pool is asked for; null, after its requests were failed, if there is none. */
+    /** Returns the path that is forwarded to the pool; if there is none, adds a failing route and returns null. */
     private ForwardedPath forwardedPath(Directive directive, Expression uri, boolean hasVariables, RequestState state) {
         boolean replacesPrefix = !uri.parts().isEmpty() && !hasVariables;
         if (replacesPrefix && !hasReplaceablePrefix(state)) {
@@ -122,17 +122,17 @@
         return path;
     }
 
-    /** Whether the location has a prefix that the path of a URL can replace. */
+    /** Whether the location has a prefix that the path of the URL can replace. */
     private static boolean hasReplaceablePrefix(RequestState state) {
         Location.Kind kind = state.location().kind();
         return !kind.isRegex() && kind != Location.Kind.NAMED && state.handler() == null;
     }
 
     /**
-     * What a pool's placement hashes of a rewritten path: nginx hashes the path that the rewrite has made, before the
-     * one for the servers is made of it.
+     * Returns the text that a pool's placement hashes for a rewritten path. nginx hashes the path after the rewrite,
+     * but before {@code proxy_pass} derives the path for the servers from it.
      *
-     * @return null, after an entry in the report, if routes can't express it
+     * @return null if routes can't express it, which is reported
      */
     private String placeByRewrittenPath(
             Directive directive, PoolSpec pool, ForwardedPath path, RewrittenPath rewritten) {
--- a/src/main/java/cacheproxy/nginx/importer/ProxyTarget.java
+++ b/src/main/java/cacheproxy/nginx/importer/ProxyTarget.java
@@ -6,16 +6,16 @@
 /**
  * The URL of a {@code proxy_pass}.
  *
- * @param encrypted whether its scheme is https
- * @param authority the upstream, or host and port
- * @param uri path and query, which may have variables; empty if there are none
- * @param hasLiteralAuthority whether no variable belongs to the authority
+ * @param encrypted whether the scheme is https
+ * @param authority the upstream's name, or host and port
+ * @param uri path and query, which can contain variables; empty if the URL has neither
+ * @param hasLiteralAuthority whether the authority contains no variables
  */
 record ProxyTarget(boolean encrypted, String authority, Expression uri, boolean hasLiteralAuthority) {
     private static final String HTTP = "http://";
     private static final String HTTPS = "https://";
 
-    /** Parses a URL; null if its scheme is not known. */
+    /** Parses a URL; returns null if its scheme is not known. */
     static ProxyTarget parse(Expression target) {
         String head = target.literalPrefix();
         boolean encrypted = head.startsWith(HTTPS);
--- a/src/main/java/cacheproxy/nginx/importer/RegexTranslation.java
+++ b/src/main/java/cacheproxy/nginx/importer/RegexTranslation.java
@@ -1,10 +1,11 @@
 package cacheproxy.nginx.importer;
 
 /**
- * A pattern of nginx (PCRE) in the syntax of routes (RE2), for paths in which some bytes stay percent-encoded.
+ * An nginx pattern (PCRE) translated to the syntax of routes (RE2), for paths in which some bytes remain
+ * percent-encoded.
  *
- * @param text the pattern; null if there is none with the same meaning
- * @param reason why there is none
+ * @param text the RE2 pattern; null if no RE2 pattern has the same meaning
+ * @param reason why there is no such pattern; null if there is one
  */
 record RegexTranslation(String text, String reason) {
     /** Translates a pattern. */
@@ -16,18 +17,18 @@
         }
     }
 
-    /** Translates the pattern of a map's entry, {@code ~PATTERN} or {@code ~*PATTERN}. */
+    /** Translates the pattern of a map entry, {@code ~PATTERN} or {@code ~*PATTERN}. */
     static RegexTranslation ofMapEntry(String entryName) {
         boolean ignoreCase = entryName.startsWith("~*");
         return of(entryName.substring(ignoreCase ? 2 : 1), ignoreCase);
     }
 
-    /** Whether there is a pattern with the same meaning. */
+    /** Whether there is an RE2 pattern with the same meaning. */
     boolean isSupported() {
         return text != null;
     }
 
-    /** A pattern that matches this text alone. */
+    /** Returns a pattern that matches only this text. */
     static String quoted(String text) {
         StringBuilder out = new StringBuilder();
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/cacheproxy/nginx/importer/RegexTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RegexTranslator.java
@@ -5,9 +5,9 @@
 /** Translates one pattern from PCRE to RE2. */
 final class RegexTranslator {
     private static final String IGNORE_CASE = "(?i)";
-    /** Escapes of PCRE that RE2 lacks or gives another meaning. */
+    /** Escapes of PCRE that RE2 lacks or that have another meaning in RE2. */
     private static final String UNSUPPORTED_ESCAPES = "gkGKRXhHvVNZ";
-    /** Characters that an escape makes literal and that keys hold percent-encoded. */
+    /** Characters that are literal when escaped, and that are percent-encoded in keys. */
     private static final String ENCODED_WHEN_ESCAPED = "?%# ";
 
     private final String pcre;
@@ -25,7 +25,7 @@
     /**
      * Returns the pattern in RE2.
      *
-     * @throws UnsupportedDirectiveException if there is none with the same meaning
+     * @throws UnsupportedDirectiveException if no RE2 pattern has the same meaning
      */
     String translate() throws UnsupportedDirectiveException {
         while (next < pcre.length()) {
@@ -104,7 +104,7 @@
             out.append('^');
             next++;
         }
-        if (pcre.startsWith("]", next)) { // a bracket that comes first is literal
+        if (pcre.startsWith("]", next)) { // a closing bracket at the beginning of a class is literal
             out.append("\\]");
             next++;
         }
--- a/src/main/java/cacheproxy/nginx/importer/Report.java
+++ b/src/main/java/cacheproxy/nginx/importer/Report.java
@@ -9,22 +9,22 @@
 import java.util.Set;
 
 /**
- * What became of each directive. Every directive has an entry: those of which no part of the importer has said anything
- * get one by {@link DirectiveTable}.
+ * The outcome of the import for each directive. Every directive has an entry: {@link DirectiveTable} provides the entry
+ * if no other part of the importer has added one.
  */
 public final class Report {
     private static final int MAX_DIRECTIVE_LENGTH = 80;
     private static final String ELLIPSIS = "...";
 
-    /** What can become of a directive, the worst last. */
+    /** The possible outcomes for a directive, the worst last. */
     public enum Level {
         /** It does not affect where requests go. */
         LEFT("left"),
-        /** The imported file says the same. */
+        /** The imported file has the same effect. */
         CARRIED("carried"),
-        /** The imported file says something similar; the entry's text tells the difference. */
+        /** The imported file has a similar effect; the entry's text describes the difference. */
         CHANGED("changed"),
-        /** Requests are treated in another way than by nginx; the entry's text tells which and how. */
+        /** Requests are treated differently than by nginx; the entry's text says which requests and how. */
         NOT("not carried");
 
         /** The level's name for operators. */
@@ -38,19 +38,19 @@
     /**
      * An entry.
      *
-     * @param text remarks for operators; may be empty
+     * @param text remarks for operators; can be empty
      */
     public record Entry(Directive directive, Level level, String text) {}
 
-    /** Entries by directive, until {@link #finish}. */
+    /** Entries by directive, collected until {@link #finish} is called. */
     private final IdentityHashMap<Directive, List<Entry>> entriesByDirective = new IdentityHashMap<>();
-    /** The directives with entries, in the order of their first ones. */
+    /** The directives with entries, in the order in which they got their first entry. */
     private final List<Directive> directives = new ArrayList<>();
 
     private List<Entry> entries = List.of();
     private final List<String> notes = new ArrayList<>();
 
-    /** Adds an entry, unless the directive is null or has an equal one. */
+    /** Adds an entry, unless the directive is null or already has an equal entry. */
     public void add(Directive directive, Level level, String text) {
         if (directive == null) {
             return;
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Reports a directive as carried over, unless it has an entry already. */
+    /** Reports a directive as carried over, unless it already has an entry. */
     void carried(Directive directive) {
         if (!entriesByDirective.containsKey(directive)) {
             add(directive, Level.CARRIED, "");
@@ -81,17 +81,17 @@
         add(directive, Level.CHANGED, text);
     }
 
-    /** Adds a remark that belongs to no directive. */
+    /** Adds a remark that does not concern a single directive. */
     void note(String text) {
         notes.add(text);
     }
 
-    /** Remarks that belong to no directive. */
+    /** Returns the remarks that do not concern a single directive. */
     public List<String> notes() {
         return Collections.unmodifiableList(notes);
     }
 
-    /** Adds entries for the remaining directives, and orders all as in the configuration. */
+    /** Adds entries for the remaining directives, and sorts all entries into the order of the configuration. */
     void finish(ConfParser.Conf conf) {
         List<Entry> ordered = new ArrayList<>();
         addInOrder(conf.directives(), false, ordered);
@@ -111,7 +111,7 @@
                     .map(Entry::level)
                     .max(Level::compareTo)
                     .orElse(Level.NOT);
-            // "Carried" says nothing beside another entry.
+            // "Carried" is omitted if the directive also has a worse entry.
             directiveEntries.stream()
                     .filter(entry -> worst == Level.CARRIED || entry.level != Level.CARRIED)
                     .forEach(into::add);
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Whether a directive's entries speak for everything in its block. */
+    /** Whether a directive's entries also cover everything in its block. */
     private static boolean isReportedAsWhole(Directive directive, List<Entry> directiveEntries, Level worst) {
         if (DirectiveTable.isReportedWithBlock(directive)) {
             return true;
@@ -134,7 +134,7 @@
         return rejectedLocation || directive.name().equals("if");
     }
 
-    /** Adds entries of directives that were dropped from the tree. */
+    /** Adds the entries of directives that were dropped from the tree. */
     private void addDropped(List<Entry> ordered) {
         Set<Directive> reported = Collections.newSetFromMap(new IdentityHashMap<>());
         ordered.forEach(entry -> reported.add(entry.directive));
@@ -145,22 +145,24 @@
                 .forEach(ordered::add);
     }
 
-    /** All entries in the configuration's order, once the import is finished. */
+    /** Returns all entries in the order of the configuration; empty until {@link #finish} has been called. */
     public List<Entry> entries() {
         return Collections.unmodifiableList(entries);
     }
 
-    /** Number of entries of a level. */
+    /** Returns the number of entries with a level. */
     public long count(Level level) {
         return entries.stream().filter(entry -> entry.level == level).count();
     }
 
-    /** Whether everything was carried over, if with changes. */
+    /** Whether everything was carried over, possibly with changes. */
     public boolean isComplete() {
         return count(Level.NOT) == 0;
     }
 
-    /** Lines for operators: entries that need attention, notes, and the count of each level. */
+    /**
+     * Returns lines for operators: all entries except those carried over unchanged, notes, and the count of each level.
+     */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
         for (Entry entry : entries) {
--- a/src/main/java/cacheproxy/nginx/importer/RequestState.java
+++ b/src/main/java/cacheproxy/nginx/importer/RequestState.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * How far nginx has come with a request.
+ * The state of a request in nginx's processing phases.
  *
  * @param position the position of its route; null: not known yet
- * @param conditions what is required of the request beyond the position
- * @param rewritten its new path; null: the path as it came in
- * @param variables values given by {@code set}
- * @param location where it is; null: at the server's level
- * @param captures the pattern whose groups {@code $1} and so on mean; null: none
- * @param handler what an {@code if} has put in place of the location's own {@code proxy_pass}; null: nothing
- * @param locationChanges number of locations that it was redirected to
+ * @param conditions what is required of the request in addition to the position
+ * @param rewritten the rewritten path; null: the path is unchanged
+ * @param variables values of variables that {@code set} has assigned
+ * @param location the request's current location; null: at the server's level
+ * @param captures the pattern to whose groups {@code $1} and so on refer; null: none
+ * @param handler the {@code proxy_pass} or {@code memcached_pass} of an {@code if}, which replaces the location's own;
+ *     null: none
+ * @param locationChanges how often the request was redirected to another location
  */
 record RequestState(
         RoutePosition position,
@@ -26,19 +27,19 @@
         String captures,
         Directive handler,
         int locationChanges) {
-    /** nginx fails a request after so many changes of its location. */
+    /** The number of location changes after which nginx fails a request. */
     static final int MAX_LOCATION_CHANGES = 10;
 
-    /** Any request of a server, as it came in. */
+    /** The initial state of any request to a server. */
     static final RequestState START = new RequestState(null, Conditions.NONE, null, Map.of(), null, null, null, 0);
 
-    /** With other conditions. */
+    /** Returns this state with other conditions. */
     RequestState withConditions(Conditions newConditions) {
         return new RequestState(
                 position, newConditions, rewritten, variables, location, captures, handler, locationChanges);
     }
 
-    /** With a value of a variable. */
+    /** Returns this state with a variable set to a value. */
     RequestState withVariable(String name, Expression value) {
         Map<String, Expression> newVariables = new HashMap<>(variables);
         newVariables.put(name, value);
@@ -46,42 +47,42 @@
                 position, conditions, rewritten, newVariables, location, captures, handler, locationChanges);
     }
 
-    /** With the groups of a pattern that has matched. */
+    /** Returns this state with the groups of a pattern that has matched. */
     RequestState withCaptures(String pattern) {
         return new RequestState(
                 position, conditions, rewritten, variables, location, pattern, handler, locationChanges);
     }
 
-    /** With the {@code proxy_pass} of an {@code if}. */
+    /** Returns this state with the {@code proxy_pass} or {@code memcached_pass} of an {@code if}. */
     RequestState withHandler(Directive newHandler) {
         return new RequestState(
                 position, conditions, rewritten, variables, location, captures, newHandler, locationChanges);
     }
 
-    /** With a new path. */
+    /** Returns this state with a rewritten path. */
     RequestState withRewritten(RewrittenPath newPath) {
         return new RequestState(position, conditions, newPath, variables, location, captures, handler, locationChanges);
     }
 
-    /** The request at the server's level, with a position. */
+    /** Returns the state of the request at the server's level, with a position. */
     RequestState atServerLevel(RoutePosition newPosition) {
         return new RequestState(newPosition, conditions, rewritten, variables, null, captures, null, locationChanges);
     }
 
-    /** The request in the location that its first search has found. */
+    /** Returns the state of the request in the location that its first search has found. */
     RequestState inFoundLocation(
             Location newLocation, RoutePosition newPosition, Conditions newConditions, String pattern) {
         return new RequestState(
                 newPosition, newConditions, rewritten, variables, newLocation, pattern, null, locationChanges);
     }
 
-    /** The request in a location that it was redirected to. */
+    /** Returns the state of the request in a location to which it was redirected. */
     RequestState redirectedTo(Location newLocation, String pattern) {
         return new RequestState(
                 position, conditions, rewritten, variables, newLocation, pattern, null, locationChanges + 1);
     }
 
-    /** Whether nginx would fail the request at the next change of its location. */
+    /** Whether nginx would fail the request at the next location change. */
     boolean isAtLocationChangeLimit() {
         return locationChanges >= MAX_LOCATION_CHANGES;
     }
--- a/src/main/java/cacheproxy/nginx/importer/RewritePhase.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewritePhase.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Follows the rewrite directives of a server or location, and what comes after them. */
+/** Translates the rewrite directives of a server or location, and continues with the phases after them. */
 final class RewritePhase {
     private final ServerContext context;
     private final Report report;
@@ -19,7 +19,7 @@
         locationPhase = new LocationPhase(context, this);
     }
 
-    /** Goes on with these directives, and with the phases that follow them. */
+    /** Continues with these directives, and then with the phases that follow them. */
     void run(List<Directive> directives, RequestState state) {
         if (directives.isEmpty()) {
             locationPhase.afterRewrite(state);
@@ -51,7 +51,7 @@
         return state.withVariable(name, substituted(Expression.of(directive.arg(1)), state.variables()));
     }
 
-    /** An expression with the current values of variables: a later {@code set} does not change it. */
+    /** Replaces variables in an expression by their current values, so that a later {@code set} does not change it. */
     private static Expression substituted(Expression expression, Map<String, Expression> variables) {
         List<Expression.Part> parts = new ArrayList<>();
         for (Expression.Part part : expression.parts()) {
--- a/src/main/java/cacheproxy/nginx/importer/RewrittenPath.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewrittenPath.java
@@ -1,31 +1,31 @@
 package cacheproxy.nginx.importer;
 
 /**
- * A path that a {@code rewrite} or {@code try_files} has made.
+ * The new path of a request after a {@code rewrite} or {@code try_files}.
  *
- * @param pattern the pattern whose groups it contains; null: none
- * @param path literals and groups
+ * @param pattern the pattern whose groups the path contains; null: none
+ * @param path the new path, made of literals and groups
  */
 record RewrittenPath(String pattern, Expression path, Search search) {
-    /** Whether a location is searched for the new path. */
+    /** The state of the search for the location of the new path. */
     enum Search {
         PENDING,
         DONE,
-        /** The request stays in the location that it was in. */
+        /** There is no search: the request stays in its current location. */
         SKIPPED
     }
 
-    /** The same with another state of the search. */
+    /** Returns this path with another state of the search. */
     RewrittenPath withSearch(Search newSearch) {
         return new RewrittenPath(pattern, path, newSearch);
     }
 
-    /** The path as the {@code replace} of a route; null if routes can't express it. */
+    /** Returns the path as the {@code replace} template of a route; null if routes can't express it. */
     String replacement() {
         return PathTemplates.replacement(path, pattern);
     }
 
-    /** Conditions with the pattern in front, as the groups of the path require. */
+    /** Returns conditions with this path's pattern moved to the front, as its groups require. */
     Conditions withPatternFirst(Conditions conditions) {
         return pattern == null ? conditions : conditions.withFirstPattern(pattern);
     }
--- a/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
@@ -6,7 +6,7 @@
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.PathKey;
 
-/** Finds the one location of all paths that a rewrite can make. */
+/** Finds the single location that takes all paths that a rewrite can result in. */
 final class RewrittenPathSearch {
     private final ServerContext context;
 
@@ -17,8 +17,8 @@
     /**
      * Finds the location of a path.
      *
-     * @param at the directive to report
-     * @return null if the path may be in several locations, or in none
+     * @param directive the directive to report if some paths would go to another location
+     * @return null if the path can belong to several locations, or belongs to none
      */
     Location find(Expression path, Directive directive) {
         boolean isLiteral = path.isLiteral();
@@ -45,7 +45,7 @@
         return null;
     }
 
-    /** Whether a path that begins so may be in a location whose text is longer. */
+    /** Whether a path that begins with this prefix can belong to a location whose text is longer. */
     private boolean dependsOnRest(String literalPrefix) {
         for (LocationSearch.Step step : context.search().steps()) {
             String text = step.exact() != null ? step.exact() : step.prefix();
@@ -100,10 +100,10 @@
         return candidates.longest;
     }
 
-    /** The steps that concern a path, and the longest prefix among them. */
+    /** Selects the steps that apply to a path, and records the longest prefix among them. */
     private static final class Candidates {
         private final String path;
-        /** The prefix whose own search decides; null: none so far. The longest comes first in the steps. */
+        /** The prefix whose own search decides; null: none so far. The steps contain the longest prefix first. */
         private String ownSearch;
 
         private Location longest;
--- a/src/main/java/cacheproxy/nginx/importer/RoutePosition.java
+++ b/src/main/java/cacheproxy/nginx/importer/RoutePosition.java
@@ -1,14 +1,14 @@
 package cacheproxy.nginx.importer;
 
 /**
- * Where a route stands among those of its host.
+ * The position of a route among the routes of its host.
  *
- * @param order lower orders are tried first
- * @param exact the whole key, percent-encoded; null for other routes
- * @param prefix the beginning of the key, percent-encoded; null for other routes
+ * @param order the route's order; routes with lower orders are tried first
+ * @param exact the whole key, percent-encoded; null if the route is not for an exact key
+ * @param prefix the beginning of the key, percent-encoded; null if the route is not for a prefix
  */
 record RoutePosition(int order, String exact, String prefix) {
-    /** The position of a route for all keys. */
+    /** Returns the position of a route for all keys. */
     static RoutePosition ofAllKeys(int order) {
         return new RoutePosition(order, null, null);
     }
--- a/src/main/java/cacheproxy/nginx/importer/RouteSink.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteSink.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Takes the routes of one virtual host, and gives them orders and names. */
+/** Collects the routes of one virtual host, and assigns their orders and names. */
 final class RouteSink {
-    /** Orders of a search: one for each tier, and one for requests that no location takes. */
+    /** The number of orders of a search: one for each tier, and one for requests that no location takes. */
     private static final int ORDERS_PER_SEARCH = LocationSearch.Tier.values().length + 1;
 
     private static final int MAX_FILE_NAME_LENGTH = 40;
 
     private final String host;
     private final List<RouteSpec> routes;
-    /** How many routes have the same file and line, in the whole import. */
+    /** The number of routes with the same file and line, in the whole import. */
     private final Map<String, Integer> countByOrigin;
 
     private int nextOrder;
@@ -26,22 +26,22 @@
         this.countByOrigin = countByOrigin;
     }
 
-    /** Reserves the orders of a search, and returns the first. */
+    /** Reserves the orders of a search, and returns the first one. */
     int reserveOrders() {
         int first = nextOrder;
         nextOrder += ORDERS_PER_SEARCH;
         return first;
     }
 
-    /** The order of requests that no location takes, in a search whose first order is given. */
+    /** Returns the order of the route for requests that no location takes, given the first order of the search. */
     static int lastOrder(int firstOrder) {
         return firstOrder + ORDERS_PER_SEARCH - 1;
     }
 
     /**
-     * Adds a route that ends its requests.
+     * Adds a route that rejects or fails its requests.
      *
-     * @param status what nginx answers, for the comment
+     * @param status the status with which nginx answers, for the comment
      */
     void addTerminal(RequestState state, Directive directive, RouteSpec.Outcome outcome, String status) {
         RoutePosition position = state.position() == null ? RoutePosition.ofAllKeys(reserveOrders()) : state.position();
@@ -79,7 +79,9 @@
                 state.location().directive().toString()));
     }
 
-    /** A route's name: the file and line that it comes from, with a number if it is not the first. */
+    /**
+     * Returns a route's name: the file and line that it comes from, with a number if it is not the first from there.
+     */
     private String name(Directive directive) {
         Position position = directive.position();
         String file =
--- a/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * A route to be written.
+ * A route of the imported file.
  *
- * @param host name of its virtual host
- * @param conditions conditions beyond the position
- * @param pools the pool, and the one that takes what it fails to answer; empty unless it forwards requests
- * @param placeBy template of what the placement hashes; null: the pool's
- * @param comment the directive that it is made of, and the status for which it is an ending
+ * @param host name of the route's virtual host
+ * @param conditions conditions in addition to the position
+ * @param pools the pool, and the fallback pool if there is one; empty unless the route forwards requests
+ * @param placeBy template of the text that the placement hashes; null: the pool's template
+ * @param comment the directive from which the route is made and, if the route ends requests, nginx's status
  */
 record RouteSpec(
         String name,
@@ -26,15 +26,15 @@
         PathRewrite rewrite,
         String placeBy,
         String comment) {
-    /** What becomes of its requests. */
+    /** What the route does with its requests. */
     enum Outcome {
         FORWARD,
-        /** They end with a time after which the client should retry. */
+        /** Requests are rejected with a time after which the client should retry. */
         REJECT,
         FAIL
     }
 
-    /** The route as far as it decides which requests it takes. */
+    /** Returns a route that matches the same requests and always fails them; used to find routes that are shadowed. */
     Route matchingRoute(int index) {
         RouteConditions routeConditions = new RouteConditions(
                 Set.of(),
--- a/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Makes routes of servers. It follows nginx's phases: the server's rewrite directives, the search for a location, that
- * location's rewrite directives, and what it does with the request.
+ * Translates servers to routes, phase by phase as nginx processes requests: the server's rewrite directives, the search
+ * for a location, that location's rewrite directives, and its content handler.
  */
 final class RouteTranslator {
     private final HttpModel model;
@@ -25,7 +25,7 @@
     /**
      * Creates a translator.
      *
-     * @param routes takes all routes, in the order of the file
+     * @param routes the list to which all routes are added, in the order of the file
      */
     RouteTranslator(
             HttpModel model, ExpressionResolver resolver, PoolTranslator pools, Report report, List<RouteSpec> routes) {
@@ -40,8 +40,8 @@
     /**
      * Translates a server's requests.
      *
-     * @param hostName name of the virtual host that has the routes
-     * @param host the only host of the requests; null: any but those that are known by name
+     * @param hostName name of the virtual host to which the routes belong
+     * @param host the only host of the requests; null: any host except those that are known by name
      */
     void translate(ServerBlock server, String hostName, String host) {
         report.carried(server.directive());
--- a/src/main/java/cacheproxy/nginx/importer/ServerAddresses.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerAddresses.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Addresses of servers, and the one name that each address has. */
+/** Resolves addresses of servers, and assigns one name to each address. */
 final class ServerAddresses {
     private static final String DEFAULT_PORT = ":80";
     private static final String LOCALHOST = "localhost";
@@ -17,18 +17,19 @@
     /**
      * Creates the table.
      *
-     * @param dialOverrides addresses by servers as written, which are preferred to what is written
+     * @param dialOverrides addresses by servers as written in nginx's configuration; they take precedence over the
+     *     written address
      */
     ServerAddresses(Map<String, String> dialOverrides) {
         this.dialOverrides = dialOverrides;
     }
 
-    /** Whether the operator has given an address for a server. */
+    /** Whether the operator has configured an address for a server. */
     boolean hasDialOverride(String nginxAddress) {
         return dialOverrides.containsKey(nginxAddress);
     }
 
-    /** The address and port of a server as written; null if it is a name, or no valid address. */
+    /** Returns the address and port of a server as written; null if it is a host name or not a valid address. */
     String dialAddress(String nginxAddress) {
         String address = dialOverrides.get(nginxAddress);
         if (address != null) {
@@ -53,7 +54,7 @@
         return Arrays.stream(address.split("\\.")).allMatch(octet -> Integer.parseInt(octet) <= MAX_OCTET);
     }
 
-    /** The name of a server: its address as it was written first, or as it is written here if it has none. */
+    /** Returns the name of a server: the first written form of its address; if it has no address, the given form. */
     String name(String nginxAddress, String dial) {
         return dial == null ? nginxAddress : nameByAddress.computeIfAbsent(dial, absent -> nginxAddress);
     }
--- a/src/main/java/cacheproxy/nginx/importer/ServerContext.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerContext.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 
 /**
- * What all phases of one server's translation share.
+ * Data shared by all phases of the translation of one server.
  *
- * @param host the only host of its requests; null: any but those that are known by name
- * @param errorPages the {@code error_page}s that its locations inherit
- * @param routes takes the routes
+ * @param host the only host of its requests; null: any host except those that are known by name
+ * @param errorPages the {@code error_page}s that the server's locations inherit
+ * @param routes collects the routes
  */
 record ServerContext(
         ServerBlock server,
@@ -26,22 +26,23 @@
         Report report) {
     private static final Set<String> REWRITE_DIRECTIVES = Set.of("set", "if", "rewrite", "return", "break");
 
-    /** The directives of a block that nginx's rewrite phase runs, in order. */
+    /** Returns the directives of a block that nginx's rewrite phase executes, in order. */
     static List<Directive> rewriteDirectives(Directive block) {
         return block.block().stream()
                 .filter(directive -> REWRITE_DIRECTIVES.contains(directive.name()))
                 .toList();
     }
 
-    /** The values that an expression can have for a request. */
+    /** Returns the values that an expression can have for a request. */
     List<Alternative> resolve(Expression expression, RequestState state) throws UnsupportedDirectiveException {
         return resolver.resolve(expression, VariableScope.of(state.variables(), host));
     }
 
     /**
-     * Both conditions; null if no request meets both or, after an entry in the report, if routes can't express them.
+     * Returns conditions that require both; null if no request meets both, or if routes can't express them, which is
+     * reported.
      *
-     * @param at the directive to report
+     * @param directive the directive to report
      */
     Conditions combine(Conditions left, Conditions right, Directive directive) {
         try {
@@ -52,7 +53,7 @@
         }
     }
 
-    /** The server's location with a name such as {@code @fallback}; null if there is none. */
+    /** Returns the server's location with a name such as {@code @fallback}; null if there is none. */
     Location namedLocation(String name) {
         return server.locations().stream()
                 .filter(location -> location.kind() == Location.Kind.NAMED
--- a/src/main/java/cacheproxy/nginx/importer/ServerSpec.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerSpec.java
@@ -1,19 +1,19 @@
 package cacheproxy.nginx.importer;
 
 /**
- * A server of a pool to be written.
+ * A server of a pool of the imported file.
  *
- * @param ringName the name by which it is placed on a consistent hash ring; null: its name
- * @param dial its address; null if it has none, it is down then
+ * @param ringName the name by which the server is placed on a consistent hash ring; null: its name
+ * @param dial the server's address; null if it has none, in which case the server is down
  * @param weight 1 or more
  */
 record ServerSpec(String name, String ringName, String dial, int weight, boolean backup, boolean down) {
-    /** The name by which it is placed. */
+    /** Returns the name by which the server is placed on the ring. */
     String placementName() {
         return ringName == null ? name : ringName;
     }
 
-    /** Whether requests go to it while all servers are well. */
+    /** Whether requests go to this server while all servers are available. */
     boolean isActive() {
         return !down && !backup;
     }
--- a/src/main/java/cacheproxy/nginx/importer/SplitClientsResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/SplitClientsResolver.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Resolves variables that a {@code split_clients} defines. */
+/** Resolves variables that a {@code split_clients} block defines. */
 final class SplitClientsResolver {
-    /** nginx computes shares of this number, in hundredths of a percent. */
+    /** nginx computes each share as a fraction of this number, in hundredths of a percent. */
     private static final long MAX_HASH = 0xFFFFFFFFL;
 
     private static final long HUNDREDTHS_OF_WHOLE = 10_000;
@@ -47,7 +47,7 @@
                 report.notCarried(split, "nginx refuses this: invalid percent value \"" + entry.name() + "\"");
                 continue;
             }
-            // nginx's own arithmetic, so that no key is on the other side of a bound.
+            // Same arithmetic as in nginx, so that every key falls into the same share.
             long share = hundredths * MAX_HASH / HUNDREDTHS_OF_WHOLE;
             long toHash = Math.min(SplitShare.HASH_RANGE - 1, fromHash + share);
             if (toHash > fromHash) {
@@ -60,7 +60,7 @@
         return values;
     }
 
-    /** The value of the first remainder, or of the last share. */
+    /** Returns the value of the first remainder entry; if there is none, of the last share. */
     private static String valueWithoutSplit(Directive split) {
         List<Directive> remainders = split.childrenNamed(REMAINDER);
         if (!remainders.isEmpty()) {
@@ -70,7 +70,7 @@
         return entries.isEmpty() ? "" : entries.get(entries.size() - 1).arg(0);
     }
 
-    /** A percentage in hundredths of a percent; -1 if the text is none. */
+    /** Returns a percentage in hundredths of a percent; -1 if the text is not a percentage. */
     private static long hundredths(String percentage) {
         if (!percentage.matches("[0-9]{1,3}(\\.[0-9]{1,2})?%")) {
             return -1;
--- a/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Translates timeouts and bounds on retries, which hold for all requests here, from all blocks that set them. */
+/** Translates timeouts and retry limits from all blocks that set them to limits that apply to all requests. */
 final class TimeoutTranslator {
-    /** nginx's default of {@code proxy_read_timeout}. */
+    /** nginx's default for {@code proxy_read_timeout}. */
     private static final double DEFAULT_DEADLINE_MS = 60_000;
 
     private static final double MIN_DEADLINE_MS = 1;
@@ -18,11 +18,11 @@
     private static final double MAX_ATTEMPTS = 8;
 
     private final Report report;
-    /** The shortest; 0: none so far. */
+    /** The shortest connect timeout; 0: none so far. */
     private double connectTimeoutMs;
-    /** The longest; 0: none so far. */
+    /** The longest read timeout; 0: none so far. */
     private double readTimeoutMs;
-    /** The fewest; 0: none so far. */
+    /** The lowest number of attempts; 0: none so far. */
     private double maxAttempts;
 
     private TimeoutTranslator(Report report) {
@@ -87,7 +87,7 @@
 
     private void addAttempts(String text) {
         int tries = text.matches("[0-9]{1,6}") ? Integer.parseInt(text) : 0;
-        if (tries > 0) { // nginx: 0 is no bound
+        if (tries > 0) { // in nginx, 0 means no limit
             maxAttempts = maxAttempts == 0 ? tries : Math.min(maxAttempts, tries);
         }
     }
--- a/src/main/java/cacheproxy/nginx/importer/TomlText.java
+++ b/src/main/java/cacheproxy/nginx/importer/TomlText.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A TOML document under construction. */
+/** Builds a TOML document. */
 final class TomlText {
     private static final char DELETE = 0x7F;
 
@@ -41,17 +41,17 @@
         value(key, value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value));
     }
 
-    /** Adds a truth value. */
+    /** Adds a boolean. */
     void flag(String key, boolean value) {
         value(key, Boolean.toString(value));
     }
 
-    /** Adds a value that is written already. */
+    /** Adds a value that is already in TOML syntax. */
     void value(String key, String value) {
         out.append(key).append(" = ").append(value).append('\n');
     }
 
-    /** A text as a literal string, in which patterns are readable, or else as a basic string. */
+    /** Returns a text as a TOML literal string if that keeps a pattern readable, otherwise as a basic string. */
     static String quoted(String text) {
         boolean literalAllowed =
                 text.chars().allMatch(character -> character >= ' ' && character < DELETE && character != '\'');
--- a/src/main/java/cacheproxy/nginx/importer/UpstreamServers.java
+++ b/src/main/java/cacheproxy/nginx/importer/UpstreamServers.java
@@ -17,7 +17,7 @@
         this.report = report;
     }
 
-    /** The longest {@code slow_start} of all servers so far, in milliseconds; 0 if there is none. */
+    /** Returns the longest {@code slow_start} of all servers so far, in milliseconds; 0 if there is none. */
     double slowStartMs() {
         return slowStartMs;
     }
@@ -25,8 +25,8 @@
     /**
      * Translates the servers of an upstream.
      *
-     * @param hashed whether the pool keeps nginx's placement, in which servers that are down keep their part of the
-     *     keys
+     * @param keepsPlacement whether the pool keeps nginx's placement, in which servers that are down keep their share
+     *     of the keys
      */
     List<ServerSpec> translate(UpstreamBlock upstream, boolean keepsPlacement) {
         List<ServerSpec> servers = new ArrayList<>();
@@ -81,9 +81,9 @@
     }
 
     /**
-     * One server for an address that is written twice.
+     * Merges the two entries of an address that is written twice into one server.
      *
-     * @param adjacent whether no other server stands between the two
+     * @param adjacent whether there is no other server between the two
      */
     private ServerSpec merged(ServerSpec first, UpstreamBlock.Server second, Method method, boolean adjacent) {
         Directive directive = second.directive();
@@ -101,7 +101,7 @@
         } else {
             report.changed(directive, "written a second time; here it is one server with the weights of both");
         }
-        // On the ring the points of the lesser weight are among those of the greater.
+        // On the ring, the points of the lower weight are a subset of those of the higher weight.
         int weight = usesRing ? Math.max(first.weight(), second.weight()) : first.weight() + second.weight();
         return new ServerSpec(
                 first.name(),
--- a/src/main/java/cacheproxy/nginx/importer/VariableScope.java
+++ b/src/main/java/cacheproxy/nginx/importer/VariableScope.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 
 /**
- * What is known of variables where an expression stands.
+ * What is known about variables at the place of an expression.
  *
- * @param variables values given by {@code set}
- * @param host the only host of the request; null: any host but those that are known by name
- * @param depth number of variables that are being resolved, each in the value of the one before it
+ * @param variables values of variables that {@code set} has assigned
+ * @param host the only host of the request; null: any host except those that are known by name
+ * @param depth number of variables that are being resolved, each one within the value of the one before it
  */
 record VariableScope(Map<String, Expression> variables, String host, int depth) {
-    /** The scope of an expression that the request's directives contain. */
+    /** Returns the scope of an expression in a directive that the request reaches. */
     static VariableScope of(Map<String, Expression> variables, String host) {
         return new VariableScope(variables, host, 0);
     }
 
-    /** The scope of a variable's value. */
+    /** Returns the scope of an expression within a variable's value. */
     VariableScope nested() {
         return new VariableScope(variables, host, depth + 1);
     }
--- a/src/main/java/cacheproxy/nginx/importer/VariableUsage.java
+++ b/src/main/java/cacheproxy/nginx/importer/VariableUsage.java
@@ -4,11 +4,13 @@
 import cacheproxy.nginx.model.HttpModel;
 import java.util.Set;
 
-/** Tells on which parts of a request expressions depend, through the variables of maps, splits and geos too. */
+/**
+ * Determines whether expressions depend on a request's host or query, also through variables of maps, splits and geos.
+ */
 final class VariableUsage {
     private static final Set<String> HOST_VARIABLES = Set.of("host", "http_host");
     private static final Set<String> QUERY_VARIABLES = Set.of("request_uri", "args", "query_string", "is_args");
-    /** Directives that can make the route of a request depend on their parameters. */
+    /** Directives whose parameters can affect the route of a request. */
     private static final Set<String> ROUTE_DIRECTIVES = Set.of("if", "proxy_pass", "set", "rewrite");
 
     private final HttpModel model;
@@ -22,12 +24,12 @@
         return dependsOn(Expression.of(text), false, 0);
     }
 
-    /** Whether an expression depends on anything of the query. */
+    /** Whether an expression depends on the query or a part of it. */
     boolean dependsOnQuery(String text) {
         return dependsOn(Expression.of(text), true, 0);
     }
 
-    /** Whether routes made of a block depend on the host. */
+    /** Whether the routes of a block depend on the host. */
     boolean blockDependsOnHost(Directive block) {
         for (Directive directive : block.block()) {
             boolean affectsRoutes = ROUTE_DIRECTIVES.contains(directive.name());
--- a/src/main/java/cacheproxy/nginx/model/DirectiveShapes.java
+++ b/src/main/java/cacheproxy/nginx/model/DirectiveShapes.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * Drops directives with a wrong number of parameters, with a block where none belongs or without one where one does.
- * nginx would not start with them, and all later steps rely on the form of what remains. Directives that nothing here
- * interprets may have any form.
+ * Drops directives that have a wrong number of parameters, an unexpected block, or no block where one is required.
+ * nginx would not start with them, and all later steps rely on the form of the remaining directives. Directives that
+ * the importer does not interpret can have any form.
  */
 public final class DirectiveShapes {
-    /** The form of a directive: bounds on the number of its parameters, and whether it has a block. */
+    /** The form of a directive: the minimum and maximum number of its parameters, and whether it has a block. */
     private record Shape(int minArgs, int maxArgs, boolean hasBlock) {
         String mismatch(Directive directive) {
             if (hasBlock && directive.block() == null) {
@@ -33,9 +33,9 @@
     private static final Shape HTTP_SERVER = new Shape(0, 0, true);
     private static final Shape UPSTREAM_SERVER = new Shape(1, UNBOUNDED, false);
     private static final Map<String, Shape> SHAPES = new HashMap<>();
-    /** Blocks whose directives are entries of a table, with one value each. */
+    /** Blocks that contain table entries, with one value each, instead of directives. */
     private static final Set<String> TABLES = Set.of("map", "split_clients", "geo");
-    /** Entries of tables that are flags or take any number of parameters. */
+    /** Table entries that are flags or take any number of parameters. */
     private static final Set<String> TABLE_OPTIONS = Set.of("hostnames", "volatile", "ranges", "proxy_recursive");
 
     static {
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Returns the tree without directives of a wrong form, and adds those to {@code faults}. Directives in which
-     * nothing was dropped are the same objects as before.
+     * Returns the tree without directives of a wrong form, and adds a fault for each of them to {@code faults}.
+     * Directives in which nothing was dropped remain the same objects.
      */
     public static List<Directive> checked(List<Directive> tree, List<HttpModel.Fault> faults) {
         return checked(tree, "", faults);
@@ -108,7 +108,7 @@
                 : new Directive(directive.name(), directive.args(), block, directive.rawBlock(), directive.position());
     }
 
-    @SuppressWarnings("ReferenceEquality") // identity is meant
+    @SuppressWarnings("ReferenceEquality") // compares identity on purpose
     private static boolean isSame(List<Directive> left, List<Directive> right) {
         if (left.size() != right.size()) {
             return false;
@@ -121,7 +121,7 @@
         return true;
     }
 
-    /** What is wrong with a directive's form; null if nothing is. */
+    /** Returns what is wrong with a directive's form; null if it is right. */
     private static String mismatch(Directive directive, String enclosingName) {
         if (TABLES.contains(enclosingName)) {
             boolean isOption = TABLE_OPTIONS.contains(directive.name());
--- a/src/main/java/cacheproxy/nginx/model/HttpModel.java
+++ b/src/main/java/cacheproxy/nginx/model/HttpModel.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 
 /**
- * The {@code http} part of a configuration: servers with their names and locations, upstreams with their servers, and
- * variables with the blocks that define them. The tree must have passed {@link DirectiveShapes#checked}.
+ * The model of a configuration's {@code http} blocks: servers with their names and locations, upstreams with their
+ * servers, and variables with the blocks that define them. The tree must have passed {@link DirectiveShapes#checked}.
  */
 public final class HttpModel {
     /**
      * Something that nginx would reject or ignore.
      *
-     * @param at the directive
-     * @param reason for the report: what nginx says of it, and what is done here
+     * @param directive the directive
+     * @param reason for the report: what nginx reports about it, and what the importer does instead
      */
     public record Fault(Directive directive, String reason) {}
 
@@ -30,7 +30,8 @@
     /**
      * Reads a configuration.
      *
-     * @param tree the configuration's directives; without an {@code http} block they are taken as the content of one
+     * @param tree the configuration's directives; if there is no {@code http} block, they are treated as the content of
+     *     one
      */
     public HttpModel(List<Directive> tree) {
         List<Directive> blocks = tree.stream()
@@ -55,27 +56,31 @@
         }
     }
 
-    /** The content of all {@code http} blocks, or the whole tree if it has none, as in a file of one site. */
+    /**
+     * Returns the content of all {@code http} blocks, or the whole tree if there is none, as in a file with one site.
+     */
     public List<Directive> http() {
         return http;
     }
 
-    /** The upstreams by name, in the order of the file. */
+    /** Returns the upstreams by name, in the order of the file. */
     public Map<String, UpstreamBlock> upstreams() {
         return Collections.unmodifiableMap(upstreams);
     }
 
-    /** The servers in the order of the file. */
+    /** Returns the servers in the order of the file. */
     public List<ServerBlock> servers() {
         return Collections.unmodifiableList(servers);
     }
 
-    /** {@code map}, {@code split_clients} and {@code geo} by the name of their variable, without its dollar. */
+    /**
+     * Returns the {@code map}, {@code split_clients} and {@code geo} blocks by the name of their variable, without $.
+     */
     public Map<String, Directive> variables() {
         return Collections.unmodifiableMap(variables);
     }
 
-    /** What nginx would reject, in the order in which it was found. */
+    /** Returns what nginx would reject, in the order in which it was found. */
     public List<Fault> faults() {
         return Collections.unmodifiableList(faults);
     }
@@ -91,7 +96,7 @@
         variables.put(name.substring(1), directive);
     }
 
-    /** A fault with which nginx would not start. */
+    /** Creates a fault that would keep nginx from starting. */
     static Fault rejected(Directive directive, String reason) {
         return new Fault(directive, "nginx refuses this: " + reason);
     }
--- a/src/main/java/cacheproxy/nginx/model/Location.java
+++ b/src/main/java/cacheproxy/nginx/model/Location.java
@@ -5,24 +5,24 @@
 import java.util.Collections;
 import java.util.List;
 
-/** A {@code location} block: which paths it matches, and the locations nested in it. Compared by identity. */
+/** A {@code location} block: the paths that it matches, and its nested locations. Compared by identity. */
 public final class Location {
-    /** How a location's text is matched with a path. */
+    /** How a location's text is matched against a path. */
     public enum Kind {
         /** {@code =}: the whole path. */
         EXACT,
         /** No modifier: a prefix of the path. */
         PREFIX,
-        /** {@code ^~}: a prefix that, if it is the longest, ends the search before patterns are tried. */
+        /** {@code ^~}: a prefix that, if it is the longest match, ends the search before patterns are tried. */
         PREFIX_WITHOUT_REGEX,
         /** {@code ~}: a pattern. */
         REGEX,
         /** {@code ~*}: a pattern that ignores case. */
         REGEX_IGNORING_CASE,
-        /** {@code @name}: reached by name only. */
+        /** {@code @name}: reached only by its name. */
         NAMED;
 
-        /** Whether the longest match decides, not the order. */
+        /** Whether the text is a prefix; the longest match decides, not the order. */
         public boolean isPrefix() {
             return this == PREFIX || this == PREFIX_WITHOUT_REGEX;
         }
@@ -46,37 +46,37 @@
         this.parent = parent;
     }
 
-    /** How {@link #text} is matched. */
+    /** Returns how {@link #text} is matched. */
     public Kind kind() {
         return kind;
     }
 
-    /** A path, a pattern, or a name with its {@code @}. */
+    /** Returns the path, the pattern, or the name with its {@code @}. */
     public String text() {
         return text;
     }
 
-    /** The {@code location} directive itself. */
+    /** Returns the {@code location} directive itself. */
     public Directive directive() {
         return directive;
     }
 
-    /** The location around this one; null at the server's level. */
+    /** Returns the enclosing location; null at the server's level. */
     public Location parent() {
         return parent;
     }
 
-    /** The locations directly within this one, in order. */
+    /** Returns the locations directly nested in this one, in order. */
     public List<Location> children() {
         return Collections.unmodifiableList(children);
     }
 
-    /** Number of locations around this one. */
+    /** Returns the number of enclosing locations. */
     int depth() {
         return parent == null ? 0 : parent.depth() + 1;
     }
 
-    /** Adds locations, while the model is built. */
+    /** Adds nested locations; called only while the model is built. */
     void addChildren(List<Location> nested) {
         children.addAll(nested);
     }
--- a/src/main/java/cacheproxy/nginx/model/LocationSearch.java
+++ b/src/main/java/cacheproxy/nginx/model/LocationSearch.java
@@ -9,35 +9,38 @@
 import java.util.function.Predicate;
 
 /**
- * nginx's search for a location as a list of steps, of which the first whose conditions hold for a path decides.
+ * nginx's search for a location as a list of steps. The first step whose conditions hold for a path determines its
+ * location.
  *
- * <p>nginx searches the longest prefix of a level first, with all that is nested in it; then, unless that prefix is
- * {@code ^~}, the level's patterns in order. An exact path ends the search at once.
+ * <p>On each level, nginx first searches the longest matching prefix and the locations nested in it; then, unless that
+ * prefix has {@code ^~}, it tries the level's patterns in order. A match of an exact path ends the search at once.
  */
 public final class LocationSearch {
     /** Groups of steps, in the order in which they are tried. */
     public enum Tier {
-        /** Exact paths, and prefixes with a search of their own. Of the prefixes of a path the longest decides. */
+        /**
+         * Exact paths, and prefixes with a search of their own. If several prefixes match a path, the longest decides.
+         */
         OWN_SEARCH,
-        /** Patterns of the server's level, in order. */
+        /** Patterns on the server's level, in order. */
         PATTERNS,
-        /** Prefixes that are tried after those patterns, the longest first. */
+        /** Prefixes that are tried after the patterns of {@link #PATTERNS}, the longest first. */
         PLAIN_PREFIXES
     }
 
     /**
      * A step of the search.
      *
-     * @param exact the whole path; null for other steps
-     * @param prefix the beginning of the path; null for other steps
-     * @param regexes locations whose patterns must all match; empty if none
-     * @param location where the path goes if all of this holds
+     * @param exact the whole path; null if the step is not for an exact path
+     * @param prefix the beginning of the path; null if the step is not for a prefix
+     * @param regexes locations whose patterns must all match; empty if no pattern is required
+     * @param location the location of the path if all of these conditions hold
      * @param redirect whether nginx answers with a redirect to the path with a slash appended
      */
     public record Step(
             Tier tier, String exact, String prefix, List<Location> regexes, Location location, boolean redirect) {}
 
-    /** Pattern locations, each nested in the one before it, that must all match. */
+    /** Locations with patterns that must all match, each nested in the one before it. */
     private record RegexChain(List<Location> regexes) {
         Location innermost() {
             return regexes.get(regexes.size() - 1);
@@ -47,8 +50,8 @@
     /**
      * A prefix location.
      *
-     * @param chainsBefore what is tried before it for paths of which it is the longest prefix
-     * @param plain whether that is just the patterns of the server's level
+     * @param chainsBefore the patterns that are tried first for paths of which it is the longest prefix
+     * @param plain whether those are only the patterns on the server's level
      */
     private record Prefix(Location location, List<RegexChain> chainsBefore, boolean plain) {
         String text() {
@@ -66,7 +69,7 @@
      * Builds the steps of a server.
      *
      * @param serverLevel the server's own locations
-     * @param passesRequests tells which locations pass requests to servers
+     * @param passesRequests returns whether a location passes requests to servers
      */
     public LocationSearch(List<Location> serverLevel, Predicate<Location> passesRequests) {
         this.passesRequests = passesRequests;
@@ -77,12 +80,12 @@
         }
     }
 
-    /** The steps; within each tier they are in the order of the search. */
+    /** Returns the steps; within each tier they are in the order of the search. */
     public List<Step> steps() {
         return Collections.unmodifiableList(steps);
     }
 
-    /** Locations that no request reaches. */
+    /** Returns the locations that no request reaches. */
     public List<Location> unreachable() {
         return Collections.unmodifiableList(unreachable);
     }
@@ -90,12 +93,12 @@
     private void addPrefixSteps() {
         Set<String> ownSearches = new HashSet<>();
         prefixes.stream().filter(prefix -> !prefix.plain).forEach(prefix -> ownSearches.add(prefix.text()));
-        // Of equal texts the inner location is searched after the outer one, and found.
+        // If two locations have the same text, nginx searches the inner one after the outer one and selects it.
         prefixes.sort(Comparator.comparingInt((Prefix prefix) -> prefix.text().length())
                 .thenComparingInt(prefix -> prefix.location.depth())
                 .reversed());
         for (Prefix prefix : prefixes) {
-            // A plain prefix that extends one with its own search would be hidden by that one.
+            // In the last tier, a plain prefix would be hidden by a shorter prefix that has its own search.
             if (!prefix.plain || extendsAny(prefix.text(), ownSearches)) {
                 for (RegexChain chain : prefix.chainsBefore) {
                     steps.add(new Step(Tier.OWN_SEARCH, null, prefix.text(), chain.regexes, chain.innermost(), false));
@@ -116,7 +119,9 @@
         return false;
     }
 
-    /** The chains of a level's patterns in the order of the search: nested ones before the one around them. */
+    /**
+     * Returns the chains of a level's patterns in the order of the search: nested patterns before the enclosing one.
+     */
     private static List<RegexChain> regexChains(List<Location> level) {
         List<RegexChain> chains = new ArrayList<>();
         for (Location location : level) {
@@ -134,10 +139,11 @@
     }
 
     /**
-     * Adds the exact paths and prefixes of a level and of those nested in it.
+     * Adds the exact paths and prefixes of a level and of the levels nested in it.
      *
-     * @param outerChains patterns of the levels around it that are tried after its own
-     * @param longerOuterPrefixes for each level around it, the prefixes that would be found instead of this level
+     * @param outerChains patterns of the enclosing levels, which are tried after those of this level
+     * @param longerOuterPrefixes for each enclosing level, the longer prefixes that nginx would select instead of the
+     *     location that contains this level
      */
     private void addLevel(List<Location> level, List<RegexChain> outerChains, List<Set<String>> longerOuterPrefixes) {
         List<Location> reachable = new ArrayList<>();
@@ -155,7 +161,7 @@
             if (location.kind() != Location.Kind.PREFIX_WITHOUT_REGEX) {
                 chains.addAll(levelChains);
             }
-            chains.addAll(outerChains); // a prefix rules out the patterns of its own level only
+            chains.addAll(outerChains); // ^~ skips only the patterns of its own level
             addPrefix(location, chains);
             if (!location.children().isEmpty()) {
                 List<Set<String>> longerPrefixes = new ArrayList<>(longerOuterPrefixes);
@@ -165,7 +171,7 @@
         }
     }
 
-    /** Texts of the level's prefixes, and of its exact paths if they are asked for. */
+    /** Returns the texts of the level's prefixes and, if {@code withExact} is true, of its exact paths. */
     private static Set<String> texts(List<Location> level, boolean withExact) {
         Set<String> texts = new HashSet<>();
         for (Location location : level) {
@@ -182,7 +188,7 @@
             unreachable.add(location);
         } else if (location.kind().isPrefix()) {
             reachablePrefixes.add(location);
-        } else if (exactPaths.add(location.text())) { // outer levels come first, as in the search
+        } else if (exactPaths.add(location.text())) { // outer levels are added first, as nginx searches them first
             steps.add(new Step(Tier.OWN_SEARCH, location.text(), null, List.of(), location, false));
         } else {
             unreachable.add(location);
@@ -204,7 +210,7 @@
         return longer;
     }
 
-    /** Whether a level around has a longer prefix of this text, which would be found instead. */
+    /** Whether an enclosing level has a longer prefix of this text, which nginx would select instead. */
     private static boolean isHidden(String text, List<Set<String>> longerOuterPrefixes) {
         for (Set<String> prefixes : longerOuterPrefixes) {
             for (int length = 1; !prefixes.isEmpty() && length <= text.length(); length++) {
@@ -216,7 +222,9 @@
         return false;
     }
 
-    /** Adds the redirect of a path without the final slash to a prefix with it that passes requests to servers. */
+    /**
+     * If a prefix ends with a slash and passes requests to servers, adds the redirect of the path without that slash.
+     */
     private void addRedirect(Location location, Set<String> levelTexts, List<Set<String>> longerOuterPrefixes) {
         if (!location.text().endsWith("/") || location.text().length() < 2 || !passesRequests.test(location)) {
             return;
--- a/src/main/java/cacheproxy/nginx/model/ServerReader.java
+++ b/src/main/java/cacheproxy/nginx/model/ServerReader.java
@@ -68,7 +68,10 @@
         return locations;
     }
 
-    /** Whether nginx takes a location among those seen before it on its level. */
+    /**
+     * Whether nginx accepts a location, given the texts of the locations before it on its level; reports a fault if
+     * not.
+     */
     private boolean isAccepted(Location location, Set<String> seen) {
         Location.Kind kind = location.kind().isPrefix() ? Location.Kind.PREFIX : location.kind();
         if (!kind.isRegex() && !seen.add(kind + " " + location.text())) {
@@ -104,7 +107,7 @@
         return new Location(kind, directive.arg(1), directive, parent);
     }
 
-    /** A location without a modifier, or with one that no space follows. */
+    /** Reads a location without a modifier, or with a modifier that is not followed by a space. */
     private static Location locationFromSingleArgument(Directive directive, Location parent) {
         String text = directive.arg(0);
         if (text.startsWith("=")) {
@@ -123,7 +126,7 @@
         return new Location(kind, text, directive, parent);
     }
 
-    /** Why a location is not allowed within its parent; null if it is. */
+    /** Returns why a location is not allowed within its parent; null if it is allowed. */
     private static String misplacementReason(Location location) {
         Location parent = location.parent();
         if (parent == null) {
--- a/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
+++ b/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
@@ -7,9 +7,9 @@
 /**
  * An {@code upstream} block.
  *
- * @param method how it selects a server
+ * @param method how the upstream selects a server
  * @param methodDirective the directive that sets the method; null for round robin
- * @param servers in the order of the file
+ * @param servers the servers in the order of the file
  */
 public record UpstreamBlock(
         String name, Directive directive, Method method, Directive methodDirective, List<Server> servers) {
@@ -27,11 +27,11 @@
     }
 
     /**
-     * A server as it is written.
+     * A server as written in the configuration.
      *
-     * @param address without scheme; the port as in the file
+     * @param address the address without a scheme; it has a port only if the file has one
      * @param weight 1 or more
-     * @param otherParameters parameters that are none of the other components, by name; empty values for those without
+     * @param otherParameters all other parameters by name; the value is empty if a parameter has none
      */
     public record Server(
             String address,
@@ -41,7 +41,7 @@
             Map<String, String> otherParameters,
             Directive directive) {}
 
-    /** The text that its method hashes, as written; empty if it hashes none. */
+    /** Returns the text that the method hashes, as written; empty if it hashes no text. */
     public String key() {
         return methodDirective == null ? "" : methodDirective.arg(0);
     }
--- a/src/main/java/cacheproxy/nginx/model/UpstreamReader.java
+++ b/src/main/java/cacheproxy/nginx/model/UpstreamReader.java
@@ -19,7 +19,7 @@
         this.faults = faults;
     }
 
-    /** Adds an upstream, unless it has no name or one that is taken. */
+    /** Adds an upstream, unless it has no name or its name is already taken. */
     void read(Directive directive) {
         String name = directive.arg(0);
         if (directive.block() == null || name.isEmpty()) {
@@ -47,14 +47,14 @@
                 method = directiveMethod;
                 methodDirective = inner;
             } else if (inner.name().equals("server")) {
-                // nginx checks a server's parameters against the method that is written before it.
+                // nginx checks a server's parameters against the last method directive before that server.
                 readServer(inner, allowsBackups(method), servers);
             }
         }
         return new UpstreamBlock(name, directive, method, methodDirective, servers);
     }
 
-    /** The method that a directive sets; null if it sets none. */
+    /** Returns the method that a directive sets; null if it sets none. */
     private static Method method(Directive directive) {
         return switch (directive.name()) {
             case "hash" -> directive.arg(1).equals("consistent") ? Method.CONSISTENT_HASH : Method.HASH;
@@ -112,7 +112,7 @@
         }
     }
 
-    /** The number in {@code weight=NUMBER}; 0 if it is none from 1 to the bound. */
+    /** Returns the number in {@code weight=NUMBER}; 0 if it is not a number from 1 to {@link #MAX_WEIGHT}. */
     private static int weight(String parameter) {
         String digits = parameter.substring("weight=".length());
         return digits.matches("[0-9]{1,7}") && Integer.parseInt(digits) <= MAX_WEIGHT ? Integer.parseInt(digits) : 0;
