--- a/src/main/java/cacheproxy/nginx/importer/DirectiveTable.java
+++ b/src/main/java/cacheproxy/nginx/importer/DirectiveTable.java
@@ -139,7 +139,7 @@
     static Report.Entry defaultEntry(Directive directive, boolean withinNotCarried) {
         String name = directive.name();
         if (name.contains("_by_lua")) {
-            return notCarried(directive, "programs are not run here: what it decides is not decided");
+            return notCarried(directive, "programs are not run here: it has no effect");
         }
         if (OTHER_PROTOCOL_PREFIXES.stream().anyMatch(name::startsWith)) {
             return notCarried(directive, "of a protocol or program that is not spoken here");
--- a/src/main/java/cacheproxy/nginx/importer/ExpressionResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/ExpressionResolver.java
@@ -103,7 +103,7 @@
     }
 
     private List<Alternative> resolveGeo(Directive geo, VariableScope scope) throws UnsupportedDirectiveException {
-        report.notCarried(geo, "addresses of clients are not told by keys: the default is taken for all");
+        report.notCarried(geo, "client addresses can't be known from keys: the default is taken for all");
         String defaultValue = geo.childrenNamed("default").stream()
                 .findFirst()
                 .map(entry -> entry.arg(0))
--- a/src/main/java/cacheproxy/nginx/importer/FallbackTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/FallbackTranslator.java
@@ -39,7 +39,7 @@
                 report.changed(
                         errorPage,
                         "requests that no server answers go to " + other.name()
-                                + ", those that may not be repeated excepted");
+                                + ", except those that must not be repeated");
                 report.carried(context.namedLocation(errorPage.lastArg()).directive());
                 report.carried(pass);
                 fallback = other.name();
@@ -70,8 +70,8 @@
         }
         report.notCarried(
                 errorPage,
-                "statuses are not told here, so that nothing is answered in their place"
-                        + (coversUnanswered ? "" : "; " + target + " is not asked for"));
+                "servers report no statuses here, so no error page replaces an answer"
+                        + (coversUnanswered ? "" : "; " + target + " is not requested"));
         return null;
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/HostTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/HostTranslator.java
@@ -58,7 +58,7 @@
             ServerBlock server = model.servers().get(i);
             Set<String> serverListeners = listeners.of(server);
             if (serverListeners.isEmpty()) {
-                report.notCarried(server.directive(), "it listens nowhere; its requests are not taken");
+                report.notCarried(server.directive(), "none of its sockets is imported; its requests are not served");
                 continue;
             }
             List<String> dedicatedHosts = new ArrayList<>();
@@ -99,7 +99,7 @@
             report.add(
                     server.directive(),
                     Report.Level.LEFT,
-                    "no request reaches it: it has no name and is nowhere the default");
+                    "no request reaches it: it has no name and is the default of no listener");
         }
     }
 
@@ -116,7 +116,7 @@
                 if (VirtualHosts.isValidName(name)) {
                     names.add(name);
                 } else {
-                    report.notCarried(server.directive(), "server name " + name + " is none that a request could have");
+                    report.notCarried(server.directive(), "server name " + name + " can't be the host of a request");
                 }
             }
         }
--- a/src/main/java/cacheproxy/nginx/importer/IfTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/IfTranslator.java
@@ -79,7 +79,8 @@
     private void skipUndecidable(Directive directive, IfCondition condition, List<Directive> rest, RequestState state) {
         report.notCarried(
                 directive,
-                "keys do not tell whether (" + condition.text() + ") holds: requests are taken as if it did not");
+                "whether (" + condition.text()
+                        + ") holds can't be known from keys: requests are taken as if it did not");
         rewritePhase.run(rest, state);
     }
 
@@ -166,14 +167,15 @@
         if (!all) {
             report.changed(
                     directive,
-                    "keys tell reads and writes, no methods: taken for all " + (onlyReads ? "reads" : "writes"));
+                    "only reads and writes are distinguished here, not methods: it applies to all "
+                            + (onlyReads ? "reads" : "writes"));
         }
         return new Requirement(Conditions.write(onlyWrites), false, null);
     }
 
     private Requirement pathRequirement(Expression left, IfCondition condition, Directive directive) {
         if (left.isVariable("request_uri")) {
-            report.changed(directive, "held against the path, without the query");
+            report.changed(directive, "compared with the path, without the query");
         }
         boolean negated = condition.isNegated();
         if (condition.isEquality()) {
--- a/src/main/java/cacheproxy/nginx/importer/LocationPhase.java
+++ b/src/main/java/cacheproxy/nginx/importer/LocationPhase.java
@@ -50,8 +50,8 @@
         if (state.isAtLocationChangeLimit()) {
             report.notCarried(
                     directive,
-                    "rewrites go round; nginx fails these requests after " + RequestState.MAX_LOCATION_CHANGES
-                            + " turns, and so they do here");
+                    "the rewrites form a loop; nginx fails these requests after " + RequestState.MAX_LOCATION_CHANGES
+                            + " cycles, and here they fail, too");
             context.routes().addFailing(state, directive, "500");
             return;
         }
@@ -59,7 +59,8 @@
         if (found == null) {
             report.notCarried(
                     directive,
-                    "where requests go whose path is made " + rewritten.path() + " can't be told; they fail");
+                    "the location for the rewritten path " + rewritten.path()
+                            + " can't be determined; these requests fail");
             context.routes().addFailing(state, directive, "500");
             return;
         }
@@ -109,7 +110,7 @@
         String prefix = step.prefix() == null ? null : PathKey.encodePercent(step.prefix());
         String keyText = exact != null ? exact : prefix;
         if (keyText != null && !KeyRewrite.isLegalKey(keyText)) {
-            report.notCarried(block, "no key is so long; nothing comes to it");
+            report.notCarried(block, "no key is that long; no request reaches it");
             return;
         }
         RoutePosition position = new RoutePosition(firstOrder + step.tier().ordinal(), exact, prefix);
--- a/src/main/java/cacheproxy/nginx/importer/MapResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/MapResolver.java
@@ -44,12 +44,13 @@
         }
         if (source.isVariable("host", "http_host")) {
             if (table.matchesHostsByPattern()) {
-                report.notCarried(map, "hosts by pattern: for hosts that are named nowhere else the default is taken");
+                report.notCarried(
+                        map, "it matches hosts by pattern: hosts that are not named elsewhere get the default");
             }
             return resolver.resolve(Expression.of(table.lookUp("")), scope.nested());
         }
         String value = table.lookUp(UNKNOWN_TEXT);
-        report.notCarried(map, source + " is not told by keys: the default, '" + value + "', is taken for all");
+        report.notCarried(map, source + " can't be known from keys: the default, '" + value + "', is taken for all");
         return resolver.resolve(Expression.of(value), scope.nested());
     }
 
--- a/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
@@ -54,7 +54,7 @@
                     upstream.directive(),
                     Names.isValid(name)
                             ? "none of its servers can be used; requests to it fail"
-                            : "its name is no name for a pool; requests to it fail");
+                            : "its name is not a valid pool name; requests to it fail");
             poolByAuthority.put(name, null);
             return;
         }
@@ -95,7 +95,7 @@
                 if (hashTemplate == null) {
                     report.notCarried(
                             methodDirective,
-                            "keys do not tell " + upstream.key() + ": servers are chosen by CARP over the key");
+                            upstream.key() + " can't be known from keys: servers are chosen by CARP over the key");
                 } else {
                     report.carried(methodDirective);
                 }
@@ -103,7 +103,7 @@
             case ROUND_ROBIN ->
                 report.changed(
                         upstream.directive(),
-                        "each key gets one server by CARP, instead of the next in turn; weights hold");
+                        "each key gets one server by CARP, instead of the next in turn; weights are kept");
             case IP_HASH ->
                 report.changed(
                         methodDirective, "each key gets one server by CARP over weights, instead of each client");
--- a/src/main/java/cacheproxy/nginx/importer/ProxyPassTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/ProxyPassTranslator.java
@@ -55,7 +55,7 @@
                     directive,
                     target.parts().isEmpty()
                             ? "for some requests it has no target; they fail"
-                            : target + " is told by no key; these requests fail",
+                            : target + " can't be known from keys; these requests fail",
                     "502",
                     state);
             return;
@@ -140,7 +140,8 @@
                 ? rewritten.path().isLiteral()
                 : path.conditions().patterns().contains(rewritten.pattern());
         if (rewritten.replacement() == null || !hasGroups) {
-            report.notCarried(directive, "the path that nginx hashes can't be told here; keys may move");
+            report.notCarried(
+                    directive, "the path that nginx hashes can't be expressed here; keys may move to other servers");
             return null;
         }
         String hashedPath = PathTemplates.placementText(rewritten.path(), rewritten.pattern());
--- a/src/main/java/cacheproxy/nginx/importer/RegexTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RegexTranslator.java
@@ -115,7 +115,8 @@
     }
 
     private static UnsupportedDirectiveException encodedInClass(char character) {
-        return new UnsupportedDirectiveException("a class with '" + character + "', which keys hold escaped");
+        return new UnsupportedDirectiveException(
+                "a class with '" + character + "', which keys contain percent-encoded");
     }
 
     private static String percentEncoded(char character) {
--- a/src/main/java/cacheproxy/nginx/importer/RewritePhase.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewritePhase.java
@@ -78,7 +78,7 @@
                 report.changed(
                         directive,
                         rejects
-                                ? "these requests are refused, with a time to come back"
+                                ? "these requests are refused, with a time after which to retry"
                                 : "these requests fail, without a status");
         }
         RouteSpec.Outcome outcome = rejects ? RouteSpec.Outcome.REJECT : RouteSpec.Outcome.FAIL;
--- a/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
@@ -94,8 +94,8 @@
             context.report()
                     .notCarried(
                             directive,
-                            "paths made " + path + " go to location " + candidates.longest.text()
-                                    + "; those that a pattern location would take go astray");
+                            "paths rewritten to " + path + " go to location " + candidates.longest.text()
+                                    + "; so do those that a pattern location would take");
         }
         return candidates.longest;
     }
--- a/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
@@ -50,7 +50,7 @@
             report.add(
                     unreachable.directive(),
                     Report.Level.LEFT,
-                    "a longer prefix outside of its own location has all of its requests, in nginx too");
+                    "a longer prefix outside its enclosing location takes all of its requests, in nginx too");
         }
         ServerContext context = new ServerContext(
                 server,
--- a/src/main/java/cacheproxy/nginx/importer/SplitClientsResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/SplitClientsResolver.java
@@ -29,7 +29,8 @@
         if (hashTemplate == null) {
             String value = valueWithoutSplit(split);
             report.notCarried(
-                    split, split.arg(0) + " is not told by keys: nothing is split, '" + value + "' is taken for all");
+                    split,
+                    split.arg(0) + " can't be known from keys: nothing is split, '" + value + "' is taken for all");
             return resolver.resolve(Expression.of(value), scope.nested());
         }
         report.carried(split);
--- a/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
@@ -82,7 +82,8 @@
     }
 
     private void reportInvalidDuration(Directive directive) {
-        report.notCarried(directive, "'" + directive.arg(0) + "' is no duration such as 500ms or 2s; it sets nothing");
+        report.notCarried(
+                directive, "'" + directive.arg(0) + "' is not a duration such as 500ms or 2s; it sets nothing");
     }
 
     private void addAttempts(String text) {
@@ -100,7 +101,8 @@
         if (conditions.contains("off")) {
             report.notCarried(
                     directive,
-                    "reads go to another server where one has failed them; max_attempts = 1 would keep all requests from it");
+                    "reads that fail on one server are retried on another; max_attempts = 1 would prevent this for all "
+                            + "requests");
             return;
         }
         List<String> statuses = conditions.stream()
@@ -109,8 +111,7 @@
         if (statuses.isEmpty()) {
             report.carried(directive);
         } else {
-            report.changed(
-                    directive, "servers tell no statuses here: " + String.join(", ", statuses) + " do not count");
+            report.changed(directive, "servers report no statuses here; ignored: " + String.join(", ", statuses));
         }
     }
 
--- a/src/main/java/cacheproxy/nginx/importer/UpstreamServers.java
+++ b/src/main/java/cacheproxy/nginx/importer/UpstreamServers.java
@@ -77,7 +77,7 @@
         return Names.isValid(nginxAddress)
                 ? "'" + nginxAddress + "' is no address, and names are not looked up; give it one by --dial "
                         + nginxAddress + "=ADDRESS:PORT"
-                : "its address is no name for a server";
+                : "its address is not a valid server name";
     }
 
     /**
@@ -131,7 +131,7 @@
                 report.notCarried(
                         directive,
                         "max_conns=" + value
-                                + ": a server's connections are bounded by its pool's connections, not one by one");
+                                + ": a server's connections are limited by its pool's connections, not individually");
             case "resolve", "service" -> report.notCarried(directive, name + ": names are not looked up");
             default -> report.notCarried(directive, "parameter " + name + " is not known here");
         }
