--- a/src/test/java/cacheproxy/nginx/ConfParserTest.java
+++ b/src/test/java/cacheproxy/nginx/ConfParserTest.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The grammar of nginx: words and their positions, includes, and what is rejected as malformed. */
+/** Tests of the nginx grammar: words and their positions, includes, and the rejection of malformed text. */
 class ConfParserTest {
-    /** Files in memory; a pattern's star matches anything but a slash. */
+    /** Files in memory; an asterisk in a pattern matches anything except a slash. */
     record Files(Map<String, String> texts) implements ConfSource {
         @Override
         public String read(String path) throws UnreadableFileException {
--- a/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Imports random directives in random blocks: the result must be a file that the daemon accepts, or none. */
+/** Imports random directives in random blocks: the result must be a file that the daemon accepts, or no file. */
 class ImporterFuzzTest {
     private static final String[] WORDS = {
         "/",
@@ -208,7 +208,7 @@
         };
     }
 
-    /** A server block at the top, or a server of an upstream. */
+    /** Returns a server block at the top level, otherwise a server of an upstream. */
     private static Directive randomServer(SplittableRandom random, List<String> args, int depth) {
         if (depth == 0) {
             return new Directive("server", List.of(), randomBlock(random, depth + 1), null, anyPosition());
@@ -230,7 +230,7 @@
         return new Position("f.conf", 1, 1);
     }
 
-    /** A random configuration, in which there is always something to import. */
+    /** Returns a random configuration that always contains something to import. */
     private static List<Directive> randomConfiguration(SplittableRandom random) {
         List<Directive> tree = randomBlock(random, 0);
         tree.add(new Directive("server", List.of(), randomBlock(random, 1), null, anyPosition()));
--- a/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of directives, in the imported file and in the report. */
+/** Tests the effect of directives on the imported file and on the report. */
 class ImporterTest {
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is one line of the source
     private static final String UPSTREAMS = "upstream u { hash $uri; server 10.0.0.1:80; server 10.0.0.2:80; }\n"
             + "upstream v { hash $uri; server 10.0.1.1:80; server 10.0.1.2:80; }\n";
 
@@ -36,7 +36,7 @@
         return DaemonConfigReader.parse("imported", result.configText());
     }
 
-    /** The report's entries of a line, without their directives. */
+    /** Returns the report's entries for a line, without their directives. */
     private static List<String> entriesOfLine(Importer.Result result, int line) {
         return result.report().entries().stream()
                 .filter(entry -> entry.directive().position().line() == line)
@@ -111,11 +111,11 @@
         assertThat(explanation(config, "/s/t", false)).contains(" pool=u ");
         assertThat(explanation(config, "/x/s/t", false)).contains(" pool=v ");
         assertThat(explanation(config, "/x%2Fs%2ft", false))
-                .as("encoded slashes are slashes")
+                .as("encoded slashes match like slashes")
                 .contains(" pool=v ");
     }
 
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is one line of the source
     @Test
     void reportsUnusableServersAndKeepsTheirShareOfKeys() throws Exception {
         String text =
@@ -136,7 +136,7 @@
                 .filteredOn(ServerConfig::down)
                 .extracting(ServerConfig::name)
                 .containsExactly("unix:/run/x.sock", "app.example:80", "10.0.0.2:80");
-        // The keys of the others are where they were: on the ring with all of them.
+        // The keys of the other servers have not moved, because the ring still contains all servers.
         NginxReferenceModel model = new NginxReferenceModel(ConfParser.parse("n", text.replace(" weight=0", " down")));
         int kept = 0;
         for (int i = 0; i < 1000; i++) {
@@ -168,7 +168,7 @@
                 importText("upstream u {\nserver 10.0.0.1:80;\nserver 10.0.0.2:80 backup;\nhash $uri; }\n"
                         + "server { location / { proxy_pass http://u; } }");
         assertThat(methodLast.report().isComplete())
-                .as("written before the method, nginx takes it")
+                .as("nginx accepts a backup that is written before the method")
                 .isTrue();
     }
 
@@ -198,7 +198,7 @@
                 .isEqualTo(cacheproxy.policy.Idempotency.NON_IDEMPOTENT);
     }
 
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is one line of the source
     @Test
     void reportsVariablesThatKeysLackAndTheConsequence() throws Exception {
         Importer.Result result = importText(
@@ -232,7 +232,7 @@
         assertThat(explanation(config, "/a/1", false)).doesNotContain("pool=u");
     }
 
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is one line of the source
     @Test
     void translatesMethodsToReadsAndWrites() throws Exception {
         DaemonConfig config = parsedConfig(importText(configWithServer(
@@ -256,7 +256,7 @@
                         "pool u: going over to CARP would move (4[89]|5[012])\\.[0-9]% of its keys to another server"));
     }
 
-    /** Guards against a timeout that can't be read counting as the shortest of all. */
+    /** Guards against an invalid timeout being used as the shortest timeout of all. */
     @Test
     void reportsAndIgnoresTimeoutsThatAreNotDurations() throws Exception {
         Importer.Result result = importText(UPSTREAMS
@@ -269,7 +269,7 @@
                 .contains("proxy_connect_timeout", "proxy_read_timeout");
     }
 
-    /** Guards against a report whose lines change their order from one run to the next. */
+    /** Guards against the lines of the report changing their order from one run to the next. */
     @Test
     void reportsDroppedDirectivesInFileOrder() {
         for (int attempt = 0; attempt < 20; attempt++) {
--- a/src/test/java/cacheproxy/nginx/importer/LocationImportTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/LocationImportTest.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The imported routes of random trees of locations, compared with nginx's documented search. */
+/** Compares the imported routes of random trees of locations with nginx's documented search. */
 class LocationImportTest {
     private static final int TREES = 1000;
     private static final int KEYS_PER_TREE = 60;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Writes random locations, each passing to an address of its own.
+     * Writes random locations, each of which passes requests to its own address.
      *
-     * @param enclosingText the text of the location around them
+     * @param enclosingText the text of the enclosing location
      * @param nextId holds the number of the next location
      */
     private static void writeLocations(
@@ -72,7 +72,7 @@
         return new RouteExplainer(config).lines(input, false).get(0);
     }
 
-    /** Compares random keys, and returns how many of them are passed to a pool. */
+    /** Compares the results for random keys, and returns how many keys are passed to a pool. */
     private static int compareRandomKeys(
             SplittableRandom random, String text, NginxReferenceModel model, DaemonConfig config) {
         int forwarded = 0;
@@ -101,7 +101,7 @@
                     new ConfParser.Conf(tree, List.of(), 1, 1),
                     new ImportOptions("127.0.0.1", 0, Map.of(), "unsafe", 0));
             DaemonConfig config = DaemonConfigReader.parse("imported", result.configText());
-            // The model does not know what nginx refuses to start with: such trees are not compared.
+            // The model does not know which configurations nginx refuses: such trees are not compared.
             boolean refused = result.report().lines().stream().anyMatch(line -> line.contains("nginx refuses"));
             if (!refused) {
                 forwarded += compareRandomKeys(random, text, new NginxReferenceModel(tree), config);
