--- a/src/main/java/cacheproxy/nginx/importer/ForwardedPath.java
+++ b/src/main/java/cacheproxy/nginx/importer/ForwardedPath.java
@@ -6,7 +6,7 @@
  * @param conditions the route's conditions; the first pattern is the one whose groups the rewrite uses
  */
 record ForwardedPath(PathRewrite rewrite, Conditions conditions) {
-    /** Returns the path as received from the client. */
+    /** Returns a result that forwards the path unchanged. */
     static ForwardedPath unchanged(Conditions conditions) {
         return new ForwardedPath(PathRewrite.NONE, conditions);
     }
--- a/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
@@ -95,7 +95,7 @@
                 if (hashTemplate == null) {
                     report.notCarried(
                             methodDirective,
-                            upstream.key() + " can't be known from keys: servers are chosen by CARP over the key");
+                            "keys do not contain " + upstream.key() + ": servers are chosen by CARP over the key");
                 } else {
                     report.carried(methodDirective);
                 }
--- a/src/main/java/cacheproxy/nginx/importer/ServerSpec.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerSpec.java
@@ -8,7 +8,7 @@
  * @param weight 1 or more
  */
 record ServerSpec(String name, String ringName, String dial, int weight, boolean backup, boolean down) {
-    /** Returns the name by which the server is placed on the ring. */
+    /** Returns the name that the placement uses for the server. */
     String placementName() {
         return ringName == null ? name : ringName;
     }
--- a/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
@@ -111,7 +111,8 @@
         if (statuses.isEmpty()) {
             report.carried(directive);
         } else {
-            report.changed(directive, "servers report no statuses here; ignored: " + String.join(", ", statuses));
+            report.changed(
+                    directive, "servers report no statuses here: " + String.join(", ", statuses) + " are ignored");
         }
     }
 
