--- a/src/main/java/cacheproxy/nginx/importer/MapResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/MapResolver.java
@@ -7,7 +7,7 @@
 
 /** Resolves variables that a {@code map} defines. */
 final class MapResolver {
-    /** A text that no entry of a map has. */
+    /** A text that is in no entry of a map. */
     private static final String UNKNOWN_TEXT = "\0";
 
     private final ExpressionResolver resolver;
@@ -44,19 +44,20 @@
         }
         if (source.isVariable("host", "http_host")) {
             if (table.matchesHostsByPattern()) {
-                report.notCarried(map, "hosts by pattern: for hosts that are named nowhere else the default is taken");
+                report.notCarried(
+                        map, "it matches hosts by pattern: hosts that are not named elsewhere get the default");
             }
             return resolver.resolve(Expression.of(table.lookUp("")), scope.nested());
         }
         String value = table.lookUp(UNKNOWN_TEXT);
-        report.notCarried(map, source + " is not told by keys: the default, '" + value + "', is taken for all");
+        report.notCarried(map, source + " can't be known from keys: the default, '" + value + "', is taken for all");
         return resolver.resolve(Expression.of(value), scope.nested());
     }
 
     private List<Alternative> valuesByPath(MapTable table, VariableScope scope) throws UnsupportedDirectiveException {
         List<Alternative> values = new ArrayList<>();
         for (Directive entry : table.literalEntries()) {
-            // Texts are compared without regard to case, and keys hold some characters percent-encoded.
+            // nginx ignores case when it compares texts; keys contain some characters percent-encoded.
             String text = PathKey.encodePercent(MapTable.literalText(entry));
             Conditions conditions = Conditions.pattern("(?i)^" + RegexTranslation.quoted(text) + "$");
             values.addAll(resolver.resolveValue(entry.arg(0), conditions, scope));
