--- a/src/main/java/cacheproxy/fakes/EffectLedger.java
+++ b/src/main/java/cacheproxy/fakes/EffectLedger.java
@@ -12,7 +12,7 @@
     private final Map<String, Integer> effectCounts = new HashMap<>();
     private Consumer<String> observer = writeId -> {};
     private long reads;
-    private int recordDroppedRepeat;
+    private int droppedRepeats;
 
     /** Told of each effect with its mark, on the thread of the stand-in. */
     public synchronized void setObserver(Consumer<String> newObserver) {
@@ -27,7 +27,7 @@
 
     /** A repeat was recognised and dropped. */
     public synchronized void recordDroppedRepeat() {
-        recordDroppedRepeat++;
+        droppedRepeats++;
     }
 
     public synchronized void recordRead() {
@@ -39,7 +39,7 @@
     }
 
     public synchronized int droppedRepeats() {
-        return recordDroppedRepeat;
+        return droppedRepeats;
     }
 
     /** How many times a write took effect. */
--- a/src/main/java/cacheproxy/fakes/FakeCacheServer.java
+++ b/src/main/java/cacheproxy/fakes/FakeCacheServer.java
@@ -252,17 +252,17 @@
     }
 
     private final class ConnectionHandler extends ByteToMessageDecoder {
-        private String write;
+        private String pendingWrite;
         private int missingBytes;
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-            if (write != null) {
+            if (pendingWrite != null) {
                 if (in.readableBytes() >= missingBytes) {
                     byte[] value = new byte[missingBytes - 2];
                     in.readBytes(value).skipBytes(2);
-                    String line = write;
-                    write = null;
+                    String line = pendingWrite;
+                    pendingWrite = null;
                     handle(ctx, line, value);
                 }
                 return;
@@ -273,7 +273,7 @@
             }
             if (line.startsWith("ms ")) {
                 missingBytes = Integer.parseInt(line.split(" ", 4)[2]) + 2;
-                write = line;
+                pendingWrite = line;
             } else {
                 handle(ctx, line, null);
             }
--- a/src/main/java/cacheproxy/fakes/FakeDiscovery.java
+++ b/src/main/java/cacheproxy/fakes/FakeDiscovery.java
@@ -78,14 +78,14 @@
      * Adds or changes an entry; watches are told at once.
      *
      * @param health up, draining or removed
-     * @param bornMs Unix time in milliseconds; 0: long ago
+     * @param startMs Unix time in milliseconds; 0: long ago
      */
-    public void put(String host, String dial, String kind, String health, double bornMs) {
-        put(host, dial, "here", kind, health, bornMs);
+    public void put(String host, String dial, String kind, String health, double startMs) {
+        put(host, dial, "here", kind, health, startMs);
     }
 
     /** The same for a server of a zone. */
-    public void put(String host, String dial, String zone, String kind, String health, double bornMs) {
+    public void put(String host, String dial, String zone, String kind, String health, double startMs) {
         JsonObject entry = new JsonObject();
         entry.addProperty("host", host);
         entry.addProperty("dial", dial);
@@ -94,7 +94,7 @@
         entry.addProperty("block", 0);
         entry.addProperty("health", health);
         entry.addProperty("share", 1.0);
-        entry.addProperty("born_ms", bornMs);
+        entry.addProperty("born_ms", startMs);
         loop.submit(() -> {
                     hosts.put(host, new Entry(++seq, entry));
                     List<Watch> notified = List.copyOf(watches);
--- a/src/main/java/cacheproxy/fakes/LoadClient.java
+++ b/src/main/java/cacheproxy/fakes/LoadClient.java
@@ -59,14 +59,14 @@
     private final LoadResult result = new LoadResult();
     private final CompletableFuture<LoadResult> done = new CompletableFuture<>();
     private final List<ConnectionHandler> handlers = new ArrayList<>();
-    private java.util.function.IntConsumer progressListener = n -> {};
+    private java.util.function.IntConsumer progressListener = count -> {};
 
-    /** @param asks the request of each number from 0 on; called on the loop */
-    public LoadClient(EventLoop loop, SocketAddress address, int requestCount, IntFunction<LoadRequest> asks) {
+    /** @param requests the request of each number from 0 on; called on the loop */
+    public LoadClient(EventLoop loop, SocketAddress address, int requestCount, IntFunction<LoadRequest> requests) {
         this.loop = loop;
         this.address = address;
         this.requestCount = requestCount;
-        this.requests = asks;
+        this.requests = requests;
     }
 
     /** Told on the loop how many have been answered, after each answer. */
@@ -85,9 +85,9 @@
                     .handler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            ConnectionHandler c = new ConnectionHandler(pipelineDepth);
-                            handlers.add(c);
-                            channel.pipeline().addLast(c);
+                            ConnectionHandler handler = new ConnectionHandler(pipelineDepth);
+                            handlers.add(handler);
+                            channel.pipeline().addLast(handler);
                         }
                     })
                     .connect(address)
--- a/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
+++ b/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
@@ -29,28 +29,28 @@
     private final AtomicInteger dropped = new AtomicInteger();
 
     /**
-     * @param a one peer's address
-     * @param b the other's
-     * @param lost share of datagrams that vanish, 0 to 1, either way
-     * @param doubled share that come twice
-     * @param lateMs those that pass come up to so much later, so that some overtake others
+     * @param addressOfA one peer's address
+     * @param addressOfB the other's
+     * @param lossRate share of datagrams that vanish, 0 to 1, either way
+     * @param duplicationRate share that come twice
+     * @param maxDelayMs those that pass come up to so much later, so that some overtake others
      */
     public LossyDatagramLink(
             EventLoop loop,
-            InetSocketAddress a,
-            InetSocketAddress b,
+            InetSocketAddress addressOfA,
+            InetSocketAddress addressOfB,
             long seed,
-            double lost,
-            double doubled,
-            double lateMs)
+            double lossRate,
+            double duplicationRate,
+            double maxDelayMs)
             throws InterruptedException {
         this.loop = loop;
         random = new SplittableRandom(seed);
-        this.lossRate = lost;
-        this.duplicationRate = doubled;
-        this.maxDelayMs = lateMs;
-        aliasOfB = bind(new Forwarder(true, b));
-        aliasOfA = bind(new Forwarder(false, a));
+        this.lossRate = lossRate;
+        this.duplicationRate = duplicationRate;
+        this.maxDelayMs = maxDelayMs;
+        aliasOfB = bind(new Forwarder(true, addressOfB));
+        aliasOfA = bind(new Forwarder(false, addressOfA));
     }
 
     private Channel bind(Forwarder forwarder) throws InterruptedException {
--- a/src/main/java/cacheproxy/fakes/SlowStartMonitor.java
+++ b/src/main/java/cacheproxy/fakes/SlowStartMonitor.java
@@ -16,9 +16,9 @@
     private double worstOverload;
     private int requestsWhileCold;
 
-    /** @param perSecond what the node can do when warm */
-    public SlowStartMonitor(double perSecond, double startCapacity, double warmUpMs, double windowMs) {
-        this.warmCapacityPerSecond = perSecond;
+    /** @param warmCapacityPerSecond what the node can do when warm */
+    public SlowStartMonitor(double warmCapacityPerSecond, double startCapacity, double warmUpMs, double windowMs) {
+        this.warmCapacityPerSecond = warmCapacityPerSecond;
         this.startCapacity = startCapacity;
         this.warmUpMs = warmUpMs;
         this.windowMs = windowMs;
--- a/src/test/java/cacheproxy/soak/SoakHistory.java
+++ b/src/test/java/cacheproxy/soak/SoakHistory.java
@@ -60,10 +60,10 @@
     /**
      * A planned end of a proxy's process, in which it owes what it has taken.
      *
-     * @param askedNanos when SIGTERM was about to be sent
+     * @param requestedNanos when SIGTERM was about to be sent
      * @param endedNanos when the process had ended for certain, by itself or by SIGKILL
      */
-    record Shutdown(int proxy, long askedNanos, long endedNanos) {}
+    record Shutdown(int proxy, long requestedNanos, long endedNanos) {}
 
     /** A proxy's process, with all its connections, had ended for certain, in whatever way. */
     record ProcessExit(int proxy, long endedNanos) {}
--- a/src/test/java/cacheproxy/soak/SoakJudge.java
+++ b/src/test/java/cacheproxy/soak/SoakJudge.java
@@ -128,7 +128,7 @@
     private Shutdown shutdownThatCut(Request request) {
         for (Shutdown shutdown : history.shutdowns) {
             if (shutdown.proxy() == request.proxy
-                    && request.cutNanos >= shutdown.askedNanos()
+                    && request.cutNanos >= shutdown.requestedNanos()
                     && request.writeStartNanos <= shutdown.endedNanos()
                     && request.cutNanos - shutdown.endedNanos() <= (CLOSE_IN_TRANSIT_MS + latenessMs) * NANOS_PER_MS) {
                 return shutdown;
@@ -144,7 +144,7 @@
     private boolean closedByShutdownBeforeArrival(Request request) {
         Shutdown shutdown = request.cutNanos == 0 ? null : shutdownThatCut(request);
         return shutdown != null
-                && request.sentNanos > shutdown.askedNanos() - SENT_BEFORE_SIGTERM_MS * NANOS_PER_MS
+                && request.sentNanos > shutdown.requestedNanos() - SENT_BEFORE_SIGTERM_MS * NANOS_PER_MS
                 && request.cutNanos - request.sentNanos < (CLOSE_IN_TRANSIT_MS + latenessMs) * NANOS_PER_MS;
     }
 
--- a/src/test/java/cacheproxy/soak/SoakRound.java
+++ b/src/test/java/cacheproxy/soak/SoakRound.java
@@ -337,10 +337,10 @@
                                 outage.toNanos() / NANOS_PER_MS)));
         history.shutdowns.stream()
                 .filter(shutdown -> shutdown.proxy() == request.proxy
-                        && Math.abs(shutdown.askedNanos() - request.sentNanos) < EXPLANATION_WINDOW_NANOS)
+                        && Math.abs(shutdown.requestedNanos() - request.sentNanos) < EXPLANATION_WINDOW_NANOS)
                 .forEach(shutdown -> lines.add("SIGTERM %.1f, ended %.1f; cut %.1f"
                         .formatted(
-                                shutdown.askedNanos() / NANOS_PER_MS,
+                                shutdown.requestedNanos() / NANOS_PER_MS,
                                 shutdown.endedNanos() / NANOS_PER_MS,
                                 request.cutNanos / NANOS_PER_MS)));
         return lines;
