--- a/src/main/java/cacheproxy/fakes/Demo.java
+++ b/src/main/java/cacheproxy/fakes/Demo.java
@@ -6,17 +6,20 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The demo's file and its requests. */
+/** The configuration file and the requests of the demo. */
 public final class Demo {
     public static final int NODE_COUNT = 8;
-    /** A stalled node stands still for so long, in milliseconds. */
+    /** Duration of a node's stall, in milliseconds. */
     public static final double STALL_MS = 150;
 
     private static final int KEY_COUNT = 2000;
 
     private Demo() {}
 
-    /** A daemon's file for this fleet, on an ephemeral port; every kind of request of the README is in it. */
+    /**
+     * Returns a daemon configuration for this fleet, with a listener on an ephemeral port; it has a class for each kind
+     * of request in the README.
+     */
     public static String configText(FakeFleet fleet) {
         return String.join(
                 "\n",
@@ -66,7 +69,7 @@
                 "");
     }
 
-    /** As after some hours: the nodes hold nineteen in twenty of the pages, whichever of them is asked. */
+    /** Fills the caches as after some hours of operation: each node holds the same 95 % of the pages. */
     public static void fillCaches(FakeFleet fleet) {
         for (int i = 0; i < KEY_COUNT; i++) {
             if (i % 20 != 19) {
@@ -77,13 +80,16 @@
         }
     }
 
-    /** Requests of all classes: 95 in 100 reads, some of a hot key; the rest writes, each with a mark of its own. */
+    /**
+     * Returns requests of all classes: 95 % reads, some of them of a hot key, and 5 % writes, each with a unique value.
+     */
     public static List<LoadRequest> requests(int count, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<LoadRequest> requests = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             int percentile = random.nextInt(100);
-            // Squared, so that some keys are far more popular than others; one in ten is the hottest.
+            // The square makes some keys far more popular than others; in addition, one read in ten is of the hottest
+            // key.
             double uniform = random.nextDouble();
             String key = "page/" + (random.nextInt(10) == 0 ? 0 : (int) (uniform * uniform * KEY_COUNT));
             if (percentile < 95) {
--- a/src/main/java/cacheproxy/fakes/EffectLedger.java
+++ b/src/main/java/cacheproxy/fakes/EffectLedger.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Counts what has taken effect, at all stand-ins together. A write is known by its idempotency key, or by the client's
- * own mark in the value where it has none. Thread-safe.
+ * Counts the effects of writes on all fake servers together. A write is identified by its idempotency key, or by its
+ * unique value if it has no key. Thread-safe.
  */
 public final class EffectLedger {
     private final Map<String, Integer> effectCounts = new HashMap<>();
@@ -14,18 +14,18 @@
     private long reads;
     private int droppedRepeats;
 
-    /** Told of each effect with its mark, on the thread of the stand-in. */
+    /** Sets an observer that is called for each effect with the id of the write, on the thread of the fake server. */
     public synchronized void setObserver(Consumer<String> newObserver) {
         observer = newObserver;
     }
 
-    /** A write took effect. */
+    /** Records that a write took effect. */
     public synchronized void recordEffect(String writeId) {
         effectCounts.merge(writeId, 1, Integer::sum);
         observer.accept(writeId);
     }
 
-    /** A repeat was recognised and dropped. */
+    /** Records that a repeated write was recognized by its idempotency key and dropped. */
     public synchronized void recordDroppedRepeat() {
         droppedRepeats++;
     }
@@ -42,17 +42,17 @@
         return droppedRepeats;
     }
 
-    /** How many times a write took effect. */
+    /** Returns how many times a write took effect. */
     public synchronized int effectCount(String writeId) {
         return effectCounts.getOrDefault(writeId, 0);
     }
 
-    /** Writes that took effect at least once. */
+    /** Returns the number of writes that took effect at least once. */
     public synchronized int writes() {
         return effectCounts.size();
     }
 
-    /** Effects beyond the first of each write. */
+    /** Returns the number of effects beyond the first of each write. */
     public synchronized int repeatedEffects() {
         return effectCounts.values().stream().mapToInt(count -> count - 1).sum();
     }
--- a/src/main/java/cacheproxy/fakes/FakeCacheServer.java
+++ b/src/main/java/cacheproxy/fakes/FakeCacheServer.java
@@ -24,12 +24,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A cache node on loopback that speaks the meta commands (memcached's protocol.txt, "Meta Commands"): one core, work
- * for each request, stalls, restarts from empty. In a fleet with an origin it only stores; alone it keeps what it is
- * sent.
+ * A cache node on loopback that implements the meta commands (memcached's protocol.txt, "Meta Commands"). It handles
+ * commands one after another with a configurable service time, and can be stalled and restarted empty. In a fleet with
+ * an origin, writes go to the origin and the node only caches; a node on its own stores the values that it is sent.
  */
 public final class FakeCacheServer implements AutoCloseable {
-    /** Values that it keeps; those longest not read go first. */
+    /** Maximum number of stored values; the least recently used are evicted first. */
     private static final int MAX_VALUES = 100_000;
 
     private static final int MAX_IDEMPOTENCY_KEYS = 100_000;
@@ -56,7 +56,7 @@
     private double delayMs;
     private double busyUntilMs;
     private double stalledUntilMs;
-    /** Commands that came while it stood still. */
+    /** Commands that arrived during a stall. */
     private final ArrayDeque<Runnable> stalledCommands = new ArrayDeque<>();
 
     private boolean muted;
@@ -64,12 +64,12 @@
     private int queueCapacity = Integer.MAX_VALUE;
     private Observer observer;
 
-    /** Told of reads that this node could not answer. */
+    /** Is notified of reads that missed at this node. */
     interface MissListener {
         void onMiss(String id, String key, FakeCacheServer node);
     }
 
-    /** Told of each command that comes, with the request's id; null where it has none. */
+    /** Is notified of each command that arrives, with the id of the request, or null if it has none. */
     public interface Observer {
         void onCommand(String id);
     }
@@ -80,7 +80,7 @@
         connections = new DefaultChannelGroup(loop);
     }
 
-    /** One that listens on an ephemeral port of 127.0.0.1. */
+    /** Starts a node that listens on an ephemeral port of 127.0.0.1. */
     public static FakeCacheServer start(EventLoop loop, EffectLedger ledger) throws InterruptedException {
         FakeCacheServer node = new FakeCacheServer(loop, ledger);
         node.listen();
@@ -115,12 +115,12 @@
         return "127.0.0.1:" + port;
     }
 
-    /** Commands that have come since the start, those of earlier lives among them. */
+    /** Returns the number of commands received, including those before restarts. */
     public int commands() {
         return commands.get();
     }
 
-    /** Tests that have come since the start: empty commands. */
+    /** Returns the number of health probes ({@code mn}) received, including those before restarts. */
     public int probes() {
         return probes.get();
     }
@@ -129,7 +129,7 @@
         missListener = listener;
     }
 
-    // ---- what befalls it; each returns once it is so
+    // ---- behavior and faults; each method returns after the change is in effect
 
     private void runOnLoop(Runnable task) {
         if (loop.inEventLoop()) {
@@ -139,13 +139,13 @@
         }
     }
 
-    /** Each request takes so long, one after another. */
+    /** Sets the service time of each command; commands are served one after another. */
     public FakeCacheServer setServiceTimeMs(double ms) {
         runOnLoop(() -> serviceTimeMs = ms);
         return this;
     }
 
-    /** So many commands may wait at once; those beyond are answered that it is busy. */
+    /** Sets how many commands can wait at once; further ones are answered with {@code SERVER_ERROR busy}. */
     public FakeCacheServer queueCapacity(int commands) {
         runOnLoop(() -> queueCapacity = commands);
         return this;
@@ -156,13 +156,13 @@
         return this;
     }
 
-    /** Each answer comes so much later; others need not wait for it. */
+    /** Delays each answer by {@code ms}, without delaying the commands after it. */
     public FakeCacheServer setDelayMs(double ms) {
         runOnLoop(() -> delayMs = ms);
         return this;
     }
 
-    /** It answers nothing for so long, and then all that came. */
+    /** Answers nothing for {@code ms}, and then all commands that arrived meanwhile. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     public void stall(double ms) {
         runOnLoop(() -> {
@@ -178,7 +178,7 @@
             loop.schedule(
                     this::resume,
                     (long) (remainingMs * 1e6),
-                    TimeUnit.NANOSECONDS); // another stall, or a clock's rounding
+                    TimeUnit.NANOSECONDS); // another stall has begun, or the timer fired early by clock rounding
             return;
         }
         for (Runnable command; (command = stalledCommands.poll()) != null; ) {
@@ -186,23 +186,23 @@
         }
     }
 
-    /** From now on it takes commands and answers none, or answers again. */
+    /** Sets whether the node reads commands without answering them. */
     public void muted(boolean on) {
         runOnLoop(() -> muted = on);
     }
 
-    /** The next so many commands are answered that it is busy. */
+    /** Answers the next {@code commandCount} commands with {@code SERVER_ERROR busy}. */
     public void rejectNext(int commandCount) {
         runOnLoop(() -> rejectNext = commandCount);
     }
 
-    /** Watches what it is sent when cold. */
+    /** Sets a monitor of the requests that the node receives while it is cold. */
     public FakeCacheServer slowStartMonitor(SlowStartMonitor monitor) {
         runOnLoop(() -> slowStartMonitor = monitor);
         return this;
     }
 
-    /** Ends its process: connections are reset, new ones refused, what it kept is gone. */
+    /** Simulates the end of its process: resets connections, refuses new ones and discards all values. */
     public void kill() {
         server.close().syncUninterruptibly();
         runOnLoop(() -> {
@@ -216,7 +216,7 @@
         connections.close().syncUninterruptibly();
     }
 
-    /** Starts it again at the same address, empty and cold. */
+    /** Starts the node again at the same address, empty and cold. */
     public void restart() throws InterruptedException {
         runOnLoop(() -> {
             if (slowStartMonitor != null) {
@@ -226,17 +226,17 @@
         listen();
     }
 
-    /** Stores a value, as the origin does where a read missed. */
+    /** Stores a value, as the origin does after a read has missed. */
     public void store(String key, byte[] value) {
         loop.execute(() -> values.put(key, value));
     }
 
-    /** Loses a value without a word. */
+    /** Removes a value without notifying anyone. */
     public void evict(String key) {
         runOnLoop(() -> values.remove(key));
     }
 
-    /** Voids a key. */
+    /** Invalidates a key after a write. */
     void invalidate(String key) {
         loop.execute(() -> values.remove(key));
     }
@@ -286,7 +286,7 @@
                 observer.onCommand(Lines.flag(line, 'O'));
             }
             if (now() < stalledUntilMs || !stalledCommands.isEmpty()) {
-                stalledCommands.add(() -> serve(ctx, line, value)); // not even to say that it is busy
+                stalledCommands.add(() -> serve(ctx, line, value)); // a stalled node does not answer "busy" either
             } else {
                 serve(ctx, line, value);
             }
@@ -327,7 +327,7 @@
         private void execute(ChannelHandlerContext ctx, String line, byte[] value) {
             if (!ctx.channel().isActive()) {
                 if (value == null) {
-                    return; // a read has no effect; a write that has come is carried out all the same
+                    return; // a read has no effect; a write is executed even after its client has gone
                 }
             }
             String key = line.substring(3, line.indexOf(' ', 3));
@@ -372,7 +372,7 @@
             write(ctx, ByteBufUtil.writeAscii(ctx.alloc(), text));
         }
 
-        /** Flushed with what else has come in the same read. */
+        /** Writes an answer; answers to commands of the same read are flushed together. */
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         private void write(ChannelHandlerContext ctx, ByteBuf buf) {
             ctx.write(buf);
--- a/src/main/java/cacheproxy/fakes/FakeDiscovery.java
+++ b/src/main/java/cacheproxy/fakes/FakeDiscovery.java
@@ -30,12 +30,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Discovery on loopback: the whole list, and watches on its changes. */
+/** A discovery service on loopback that serves the full host list and long polls for changes to it. */
 public final class FakeDiscovery implements AutoCloseable {
     private final EventLoop loop;
     private final Channel server;
     private final ChannelGroup connections;
-    /** Entries with the version of their last change. */
+    /** Entries by host, each with the sequence number of its last change. */
     private final Map<String, Entry> hosts = new LinkedHashMap<>();
 
     private final List<Watch> watches = new ArrayList<>();
@@ -75,16 +75,16 @@
     }
 
     /**
-     * Adds or changes an entry; watches are told at once.
+     * Adds or changes an entry; pending watches are answered at once.
      *
      * @param health up, draining or removed
-     * @param startMs Unix time in milliseconds; 0: long ago
+     * @param startMs start time of the server as Unix time in milliseconds; 0 if it has been up for long
      */
     public void put(String host, String dial, String kind, String health, double startMs) {
         put(host, dial, "here", kind, health, startMs);
     }
 
-    /** The same for a server of a zone. */
+    /** Adds or changes the entry of a server in a zone; pending watches are answered at once. */
     public void put(String host, String dial, String zone, String kind, String health, double startMs) {
         JsonObject entry = new JsonObject();
         entry.addProperty("host", host);
@@ -110,7 +110,7 @@
         answer(ctx, list, false);
     }
 
-    /** The whole list as it is now, in the form of an answer. */
+    /** Returns the current full list in the form of a response. */
     public JsonObject fullList() {
         return loop.submit(() -> responseJson(currentHosts(), true))
                 .syncUninterruptibly()
@@ -142,12 +142,12 @@
         ctx.writeAndFlush(response);
     }
 
-    /** Calls that have come, watches among them. */
+    /** Returns the number of requests received, including watches. */
     public int requestCount() {
         return requestCount.get();
     }
 
-    /** Calls that wait for a change. */
+    /** Returns the number of requests that are waiting for a change. */
     public int pendingWatches() {
         return loop.submit(watches::size).syncUninterruptibly().getNow();
     }
--- a/src/main/java/cacheproxy/fakes/FakeFleet.java
+++ b/src/main/java/cacheproxy/fakes/FakeFleet.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Cache nodes, an origin and discovery on ephemeral ports of 127.0.0.1, on one thread of their own. */
+/** Runs cache nodes, an origin and discovery on ephemeral ports of 127.0.0.1, on one shared thread. */
 public final class FakeFleet implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     private final EventLoop loop = group.next();
@@ -16,7 +16,10 @@
     public final FakeOrigin origin;
     public final FakeDiscovery discovery;
 
-    /** All listed by discovery, warm, as {@code s-00000001} and so on, and the origin as {@code origin}. */
+    /**
+     * Starts the fleet; discovery lists the nodes as already warm, under the names {@code s-00000001} and so on, and
+     * the origin as {@code origin}.
+     */
     public FakeFleet(int nodeCount) throws InterruptedException {
         origin = FakeOrigin.start(loop, ledger);
         discovery = FakeDiscovery.start(loop);
@@ -32,12 +35,12 @@
         return loop;
     }
 
-    /** A node's name in discovery's list. */
+    /** Returns the name of a node in discovery's list. */
     public static String nodeName(int node) {
         return "s-%08x".formatted(node + 1);
     }
 
-    /** A node dies and comes back empty; discovery tells its start. */
+    /** Kills a node and starts it again, empty; discovery publishes its new start time. */
     public void restart(int node) throws InterruptedException {
         nodes.get(node).kill();
         nodes.get(node).restart();
--- a/src/main/java/cacheproxy/fakes/FakeNginx.java
+++ b/src/main/java/cacheproxy/fakes/FakeNginx.java
@@ -11,9 +11,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An HTTP server on loopback that answers each request with the node that {@link NginxReferenceModel} says it goes to,
- * instead of asking that node: headers {@code X-Pool}, {@code X-SimulatedServer} ({@code -} where any of the pool) and
- * {@code X-Uri}.
+ * An HTTP server on loopback that answers each request with the node to which {@link NginxReferenceModel} routes it,
+ * instead of forwarding the request to that node. The answer has the headers {@code X-Pool}, {@code X-Node} ({@code -}
+ * if any node of the pool may serve the request) and {@code X-Uri}.
  */
 public final class FakeNginx implements AutoCloseable {
     private final NginxReferenceModel model;
@@ -69,7 +69,7 @@
                 out.flush();
             }
         } catch (IOException gone) {
-            // the client's business
+            // the client has closed the connection
         }
     }
 
--- a/src/main/java/cacheproxy/fakes/FakeOrigin.java
+++ b/src/main/java/cacheproxy/fakes/FakeOrigin.java
@@ -34,8 +34,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The origin on loopback, HTTP/1.1: the value of every key is made from it, so that a wrong answer shows; writes are
- * counted in the ledger, repeats of keyed ones dropped. It tells the nodes what they missed.
+ * An HTTP/1.1 origin on loopback. The value of each key is derived from the key, so that wrong answers are detected.
+ * Writes are counted in the ledger; repeats with the same idempotency key are dropped. After a read, the origin stores
+ * the value at the node that missed it.
  */
 public final class FakeOrigin implements AutoCloseable {
     private static final int MAX_MISSES = 100_000;
@@ -86,7 +87,7 @@
         return new FakeOrigin(loop, ledger);
     }
 
-    /** The value of a key that has not been written. */
+    /** Returns the value of a key that has not been written. */
     public static String value(String key) {
         return "value of " + key;
     }
@@ -99,12 +100,12 @@
         return "127.0.0.1:" + address().getPort();
     }
 
-    /** Reads that it has answered. */
+    /** Returns the number of reads handled. */
     public int fetches() {
         return fetches.get();
     }
 
-    /** The nodes that it stores missed values at and voids written keys of. */
+    /** Sets the nodes at which it stores missed values and invalidates written keys. */
     public void setNodes(Iterable<FakeCacheServer> fleet) {
         loop.submit(() -> {
                     nodes = fleet;
@@ -114,18 +115,18 @@
                 .syncUninterruptibly();
     }
 
-    /** Each request takes so long; it does many at once. */
+    /** Sets the service time of each request; requests are handled concurrently. */
     public FakeOrigin setServiceTimeMs(double ms) {
         loop.submit(() -> serviceTimeMs = ms).syncUninterruptibly();
         return this;
     }
 
-    /** From now on it carries out what comes and answers nothing, or answers again. */
+    /** Sets whether the origin executes requests without answering them. */
     public void muted(boolean on) {
         loop.submit(() -> muted = on).syncUninterruptibly();
     }
 
-    /** From now on it declines what comes without carrying it out, or takes it again. */
+    /** Sets whether the origin declines requests without executing them. */
     public void setDeclining(boolean on) {
         loop.submit(() -> declining = on).syncUninterruptibly();
     }
--- a/src/main/java/cacheproxy/fakes/Lines.java
+++ b/src/main/java/cacheproxy/fakes/Lines.java
@@ -3,11 +3,11 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Lines of the text protocols, read independently of the proxy's own codecs. */
+/** Parses lines of the text protocols, independently of the proxy's own codecs. */
 final class Lines {
     private Lines() {}
 
-    /** A line without its end; null while it is not all there. */
+    /** Reads a line without its terminator; returns null and consumes nothing if the line is incomplete. */
     static String readLine(ByteBuf in) {
         int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
         if (end < 0) {
@@ -20,7 +20,10 @@
         return line;
     }
 
-    /** The rest of the word that begins with this letter, from the third word on; null if there is none. */
+    /**
+     * Returns the rest of the first word that begins with {@code letter}, starting at the third word; null if there is
+     * none.
+     */
     static String flag(String line, char letter) {
         int position = line.indexOf(' ', line.indexOf(' ') + 1);
         while (position >= 0 && position + 1 < line.length()) {
@@ -33,7 +36,7 @@
         return null;
     }
 
-    /** The value under a name in a list such as {@code c=read,d=480}; null if it is not there. */
+    /** Returns the value of a name in a list such as {@code c=read,d=480}; null if the name is absent. */
     static String listValue(String list, String name) {
         for (String pair : list == null ? new String[0] : list.split(",")) {
             if (pair.startsWith(name + "=")) {
--- a/src/main/java/cacheproxy/fakes/LoadClient.java
+++ b/src/main/java/cacheproxy/fakes/LoadClient.java
@@ -20,14 +20,17 @@
 import java.util.function.IntFunction;
 
 /**
- * Clients that keep a number of requests in hand on several connections, and account for each of them: it is served,
- * refused or failed exactly once, or it is lost. All on one event loop.
+ * A load generator that keeps a fixed number of requests in flight on each of several connections, and counts the
+ * outcome of each request: it is served, refused, failed or missed exactly once, or it is lost. Runs on one event loop.
  */
 public final class LoadClient {
-    /** What to ask. {@code mark} tells a write apart in its value; {@code expect} is a read's value, null: any. */
+    /**
+     * A request: a write of {@code writeValue}, or a read if that is null. Values of writes are unique, so that a write
+     * can be identified by its value. A null {@code expectedValue} accepts any value of a read.
+     */
     public record LoadRequest(String key, String parameters, String writeValue, String expectedValue) {}
 
-    /** What became of all. */
+    /** The outcomes of all requests. */
     public static final class LoadResult {
         public int sent;
         public int served;
@@ -35,7 +38,7 @@
         public int refusedWithoutRetryAfter;
         public int failed;
         public int missed;
-        /** No answer, an answer to nothing, or a wrong value. */
+        /** Requests without an answer, answers without a request, and wrong values. */
         public int lost;
 
         public final List<String> errors = new ArrayList<>();
@@ -61,7 +64,7 @@
     private final List<ConnectionHandler> handlers = new ArrayList<>();
     private java.util.function.IntConsumer progressListener = count -> {};
 
-    /** @param requests the request of each number from 0 on; called on the loop */
+    /** @param requests returns the request of each number from 0 on; called on the event loop */
     public LoadClient(EventLoop loop, SocketAddress address, int requestCount, IntFunction<LoadRequest> requests) {
         this.loop = loop;
         this.address = address;
@@ -69,13 +72,18 @@
         this.requests = requests;
     }
 
-    /** Told on the loop how many have been answered, after each answer. */
+    /**
+     * Sets a listener that is called on the event loop after each answer, with the number of requests that are done.
+     */
     public LoadClient onProgress(java.util.function.IntConsumer listener) {
         progressListener = listener;
         return this;
     }
 
-    /** Starts so many connections with so many requests in hand on each; the future ends with the last answer. */
+    /**
+     * Opens the connections, each with up to {@code pipelineDepth} requests in flight; the future completes with the
+     * last answer.
+     */
     public CompletableFuture<LoadResult> start(int connectionCount, int pipelineDepth) {
         for (int i = 0; i < connectionCount; i++) {
             new Bootstrap()
@@ -198,7 +206,7 @@
             onAnswered();
         }
 
-        /** A client that is told when to come back asks nothing before. */
+        /** Sends nothing until the retry-after time that the proxy has reported is over. */
         @SuppressWarnings(
                 "FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
         private void pauseSending(int ms) {
--- a/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
+++ b/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A way for datagrams between two peers that loses, doubles and delays them, by a seed. Each peer knows the other by
- * this one's address on its own side.
+ * Forwards datagrams between two peers, A and B, and drops, duplicates and delays some of them at random, from a seed.
+ * Each peer reaches the other at an alias address of this link.
  */
 public final class LossyDatagramLink implements AutoCloseable {
     private final EventLoop loop;
@@ -29,11 +29,12 @@
     private final AtomicInteger dropped = new AtomicInteger();
 
     /**
-     * @param addressOfA one peer's address
-     * @param addressOfB the other's
-     * @param lossRate share of datagrams that vanish, 0 to 1, either way
-     * @param duplicationRate share that come twice
-     * @param maxDelayMs those that pass come up to so much later, so that some overtake others
+     * @param addressOfA address of peer A
+     * @param addressOfB address of peer B
+     * @param lossRate fraction of datagrams that are dropped in either direction, 0 to 1
+     * @param duplicationRate fraction of forwarded datagrams that are delivered twice
+     * @param maxDelayMs maximum delay of forwarded datagrams in milliseconds; delays are random, so that datagrams are
+     *     reordered
      */
     public LossyDatagramLink(
             EventLoop loop,
@@ -63,17 +64,17 @@
                 .channel();
     }
 
-    /** Where a sends what is for b. */
+    /** Returns the address to which A sends datagrams for B. */
     public InetSocketAddress aliasAddressOfB() {
         return (InetSocketAddress) aliasOfB.localAddress();
     }
 
-    /** Where b sends what is for a. */
+    /** Returns the address to which B sends datagrams for A. */
     public InetSocketAddress aliasAddressOfA() {
         return (InetSocketAddress) aliasOfA.localAddress();
     }
 
-    /** Datagrams that passed, and those that did not. */
+    /** Returns the number of datagrams that were forwarded; {@link #dropped()} returns the others. */
     public int forwarded() {
         return forwarded.get();
     }
@@ -117,7 +118,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // a peer that is not there
+            // the peer is not running
         }
     }
 }
--- a/src/main/java/cacheproxy/fakes/NginxReferenceModel.java
+++ b/src/main/java/cacheproxy/fakes/NginxReferenceModel.java
@@ -6,18 +6,20 @@
 import java.util.List;
 
 /**
- * What nginx would do with a request, by its public documentation (ngx_http_core, rewrite, map, split_clients, proxy
- * and upstream modules). It shares nothing with the importer but the grammar, so that each can be compared with the
- * other. Servers are taken to be well, and clients to be unknown. Confined to one thread at a time.
+ * Models what nginx does with a request, according to its public documentation (ngx_http_core, rewrite, map,
+ * split_clients, proxy and upstream modules). It shares nothing with the importer but the grammar, so that each can be
+ * compared with the other. All servers are assumed to be available; nothing is known of the client. Not thread-safe:
+ * use it from one thread at a time.
  */
 public final class NginxReferenceModel {
     /**
-     * What becomes of a request.
+     * The result for a request.
      *
-     * @param status what nginx answers by itself; 0 if it passes the request on
-     * @param pool name of the upstream, or the address itself
-     * @param node the server as it is written; null if the method does not choose by the request alone
-     * @param uri path and query that the server is asked for
+     * @param status the status that nginx itself returns; 0 if it passes the request on
+     * @param pool name of the upstream, or the address if no upstream is named
+     * @param node the server as written in the configuration; null if the balancing method depends on more than the
+     *     request
+     * @param uri path and query of the request to the server
      */
     public record Answer(int status, String pool, String node, String uri) {}
 
@@ -28,15 +30,15 @@
         interpreter = new RequestInterpreter(tree);
     }
 
-    /** The first socket of the configuration; requests come in there unless they say otherwise. */
+    /** Returns the first socket of the configuration, which is the default for requests. */
     public String firstSocket() {
         return interpreter.firstSocket();
     }
 
     /**
-     * What becomes of a request.
+     * Returns the result for a request.
      *
-     * @param socket where it comes in, such as {@code *:80}
+     * @param socket the socket on which the request arrives, such as {@code *:80}
      * @param requestUri path and query
      */
     public Answer respond(String socket, String method, String host, String requestUri) {
--- a/src/main/java/cacheproxy/fakes/ScriptedServer.java
+++ b/src/main/java/cacheproxy/fakes/ScriptedServer.java
@@ -16,24 +16,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** A server on loopback that runs a script for each connection: peers that do what no sound one does. */
+/** A server on loopback that runs a script for each connection, to simulate faulty peers. */
 public final class ScriptedServer implements AutoCloseable {
-    /** What to do with a connection; its end closes it. */
+    /** The script of a connection; the connection is closed when the script ends. */
     public interface Script {
         void run(Connection connection) throws Exception;
     }
 
-    /** One accepted connection, with the reading that the protocols need. */
+    /** An accepted connection with methods that read and write the protocols. */
     public static final class Connection {
         public final Socket socket;
         public final InputStream in;
         public final OutputStream out;
         private final ScriptedServer server;
 
-        /**
-         * @param server which keeps what {@link #readCommand} and {@link #readRequest} read; null where neither is
-         *     called
-         */
+        /** @param server records what {@link #readCommand} and {@link #readRequest} read; null if neither is called */
         public Connection(Socket socket, ScriptedServer server) throws IOException {
             this.socket = socket;
             this.server = server;
@@ -41,12 +38,12 @@
             out = socket.getOutputStream();
         }
 
-        /** A line without its end; null at the end of the stream. */
+        /** Reads a line without its terminator; returns null at the end of the stream. */
         public String readLine() throws IOException {
             return ScriptedServer.readLine(in);
         }
 
-        /** The next command of a proxy, kept for the test to see; null at the end of the stream. */
+        /** Reads the next command of a proxy and records it for the test; returns null at the end of the stream. */
         public String readCommand() throws IOException {
             String line = readLine();
             if (line != null) {
@@ -55,7 +52,10 @@
             return line;
         }
 
-        /** The next HTTP request, its lines and body in one text; null at the end of the stream. */
+        /**
+         * Reads the next HTTP request and records it for the test; returns its lines and body as one text, or null at
+         * the end of the stream.
+         */
         public String readRequest() throws IOException {
             StringBuilder text = new StringBuilder();
             int length = 0;
@@ -82,25 +82,25 @@
             send("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        /** Ends the connection with a reset. */
+        /** Closes the connection with a reset. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
-        /** Waits for the other side's end. */
+        /** Waits until the peer closes the connection. */
         public void awaitEnd() throws IOException {
             try {
                 while (in.read() >= 0) {
-                    // dropped
+                    // discard
                 }
             } catch (IOException e) {
-                // a reset is an end, too
+                // a reset also closes the connection
             }
         }
     }
 
-    /** A line without its end; null at the end of the stream. */
+    /** Reads a line without its terminator; returns null at the end of the stream. */
     public static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b; (b = in.read()) != '\n'; ) {
@@ -114,7 +114,7 @@
         return line.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** The id of a command or of a request to the origin. */
+    /** Returns the id of a command or of a request to the origin. */
     public static String requestId(String command) {
         int start = command.contains("Req-Id: ")
                 ? command.indexOf("Req-Id: ") + 8
@@ -146,7 +146,7 @@
         });
     }
 
-    /** A cache node that answers reads with what this function makes of the command's line. */
+    /** Starts a cache node that answers each command with the result of {@code answer} for the command's line. */
     public static ScriptedServer node(Function<String, String> answer) throws IOException {
         return new ScriptedServer(connection -> {
             for (String line; (line = connection.readCommand()) != null; ) {
@@ -179,7 +179,7 @@
         return "127.0.0.1:" + port();
     }
 
-    /** The next command that any connection read. */
+    /** Returns the next command that was read on any connection; fails after 20 s without one. */
     public String awaitCommand() throws InterruptedException {
         String command = commands.poll(20, TimeUnit.SECONDS);
         if (command == null) {
--- a/src/main/java/cacheproxy/fakes/SlowStartMonitor.java
+++ b/src/main/java/cacheproxy/fakes/SlowStartMonitor.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Watches what a freshly started node is sent against what it can do at that moment: the rule that no cold node is
- * pushed over, measured at the node. Times in milliseconds.
+ * Compares the load on a freshly started node with its capacity at that time, to check at the node that a cold node is
+ * not overloaded. Times are in milliseconds.
  */
 public final class SlowStartMonitor {
     private final double warmCapacityPerSecond;
@@ -16,7 +16,7 @@
     private double worstOverload;
     private int requestsWhileCold;
 
-    /** @param warmCapacityPerSecond what the node can do when warm */
+    /** @param warmCapacityPerSecond requests per second that the node can serve when warm */
     public SlowStartMonitor(double warmCapacityPerSecond, double startCapacity, double warmUpMs, double windowMs) {
         this.warmCapacityPerSecond = warmCapacityPerSecond;
         this.startCapacity = startCapacity;
@@ -44,12 +44,12 @@
                 Math.max(worstOverload, arrivals.size() / (warmCapacityPerSecond * capacityFraction * windowMs / 1000));
     }
 
-    /** The most it was sent in any span of the fall time, as a multiple of what it could do at the span's start. */
+    /** Returns the highest load in any window, as a multiple of the node's capacity at the start of the window. */
     public double worstOverload() {
         return worstOverload;
     }
 
-    /** What it was sent while it was cold. */
+    /** Returns the number of requests that the node received while it was cold. */
     public int requestsWhileCold() {
         return requestsWhileCold;
     }
--- a/src/main/java/cacheproxy/fakes/nginx/ContentHandler.java
+++ b/src/main/java/cacheproxy/fakes/nginx/ContentHandler.java
@@ -3,7 +3,10 @@
 import cacheproxy.nginx.Directive;
 import java.util.Map;
 
-/** Ends requests in their location: {@code limit_except}, {@code try_files} without files, and passing them on. */
+/**
+ * Handles requests in their location: {@code limit_except}, {@code try_files} (no files exist), and passing requests to
+ * a server.
+ */
 final class ContentHandler {
     private final Map<String, Directive> upstreams;
     private final VariableExpander variables;
@@ -17,7 +20,9 @@
         balancer = new UpstreamBalancer(variables);
     }
 
-    /** Handles a request; returns the path for which a location is to be searched again, or null. */
+    /**
+     * Handles a request; returns the path for which a location must be searched again, or null if the request is done.
+     */
     String handle(Directive server, Directive location, SimulatedRequest request) {
         if (isDenied(location, request)) {
             request.answer(403);
@@ -113,7 +118,7 @@
         request.answer(Response.passed(authority, server, uri));
     }
 
-    /** The URI for a server if the directive has one; null if nginx would not start with it. */
+    /** Returns the request URI for a directive that has a URI; null if nginx would reject the configuration. */
     private static String replacedUri(
             String targetUri, Directive pass, LocationText location, SimulatedRequest request) {
         if (pass.arg(0).contains("$")) {
@@ -123,7 +128,7 @@
             return null;
         }
         if (request.isPathChangedInLocation()) {
-            return request.path() + request.query(); // the directive's URI does not count then
+            return request.path() + request.query(); // after a rewrite, nginx ignores the directive's URI
         }
         return targetUri + request.path().substring(location.text().length()) + request.query();
     }
--- a/src/main/java/cacheproxy/fakes/nginx/HttpBlock.java
+++ b/src/main/java/cacheproxy/fakes/nginx/HttpBlock.java
@@ -10,10 +10,10 @@
  * The directives of the {@code http} blocks.
  *
  * @param servers the server blocks, in order
- * @param upstreams the upstream blocks by name, of equal names the first
+ * @param upstreams the upstream blocks by name; of blocks with the same name, the first
  */
 record HttpBlock(List<Directive> directives, List<Directive> servers, Map<String, Directive> upstreams) {
-    /** Reads a configuration; one without an {@code http} block is taken as the content of one. */
+    /** Reads a configuration; one without an {@code http} block is treated as the content of such a block. */
     static HttpBlock of(List<Directive> tree) {
         List<Directive> blocks = tree.stream()
                 .filter(directive -> directive.name().equals("http") && directive.block() != null)
--- a/src/main/java/cacheproxy/fakes/nginx/LocationFinder.java
+++ b/src/main/java/cacheproxy/fakes/nginx/LocationFinder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.regex.Matcher;
 
-/** Searches the location of a path as documented, one level at a time. */
+/** Finds the location of a path in the documented order, one nesting level at a time. */
 final class LocationFinder {
     private final PatternCache patterns;
 
@@ -12,7 +12,9 @@
         this.patterns = patterns;
     }
 
-    /** The location of the request's path; null if there is none, or the request is answered with a redirect. */
+    /**
+     * Returns the location of the request's path; null if there is none, or if the request is answered with a redirect.
+     */
     Directive find(List<Directive> level, SimulatedRequest request) {
         List<Directive> locations = locations(level);
         Directive exact = exact(locations, request.path());
@@ -52,7 +54,7 @@
         return longest;
     }
 
-    /** Whether a prefix that passes requests to servers is the path with a slash appended. */
+    /** Returns whether the path with a slash appended is a prefix location that passes requests to servers. */
     private static boolean redirectsToSlash(List<Directive> locations, String path) {
         return locations.stream()
                 .filter(LocationFinder::passesRequests)
@@ -60,7 +62,7 @@
                 .anyMatch(text -> text.isPrefix() && text.text().equals(path + "/"));
     }
 
-    /** The location in the longest prefix of a level, or the pattern that takes its place. */
+    /** Returns the location found in the longest prefix of a level, or the pattern that takes precedence over it. */
     private Directive findWithin(Directive prefix, List<Directive> level, SimulatedRequest request) {
         Directive inner = find(prefix.block(), request);
         if (request.isAnswered()) {
@@ -103,7 +105,10 @@
         return location.lastChildNamed("proxy_pass") != null || location.lastChildNamed("memcached_pass") != null;
     }
 
-    /** Whether a nested search that ends here is the whole search: it found an exact path or a pattern. */
+    /**
+     * Returns whether a location found in a nested search ends the whole search, because it is an exact path or a
+     * pattern.
+     */
     private static boolean endsSearch(Directive location) {
         LocationText text = LocationText.of(location);
         return text.isExact() || text.isRegex();
--- a/src/main/java/cacheproxy/fakes/nginx/LocationText.java
+++ b/src/main/java/cacheproxy/fakes/nginx/LocationText.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * What a {@code location} matches.
+ * The modifier and text of a {@code location}.
  *
- * @param modifier {@code =}, {@code ^~}, {@code ~}, {@code ~*} or {@code @}; empty: none
+ * @param modifier {@code =}, {@code ^~}, {@code ~}, {@code ~*} or {@code @}; empty if there is none
  */
 record LocationText(String modifier, String text) {
     private static final List<String> MODIFIERS = List.of("=", "^~", "~*", "~");
 
-    /** Reads a location, whose modifier may be a word of its own or not. */
+    /** Parses a location, whose modifier can be a separate word or the beginning of the text. */
     static LocationText of(Directive location) {
         if (location.args().size() == 2) {
             return new LocationText(location.arg(0), location.arg(1));
@@ -25,32 +25,32 @@
         return new LocationText(word.startsWith("@") ? "@" : "", word);
     }
 
-    /** Whether it matches the whole path. */
+    /** Returns whether it matches the whole path. */
     boolean isExact() {
         return modifier.equals("=");
     }
 
-    /** Whether it matches the beginning of the path. */
+    /** Returns whether it matches the beginning of the path. */
     boolean isPrefix() {
         return modifier.isEmpty() || endsSearch();
     }
 
-    /** Whether patterns of its level are not tried if it is the longest prefix. */
+    /** Returns whether the patterns of its level are skipped if it is the longest matching prefix. */
     boolean endsSearch() {
         return modifier.equals("^~");
     }
 
-    /** Whether it is a pattern. */
+    /** Returns whether it is a pattern. */
     boolean isRegex() {
         return modifier.equals("~") || ignoresCase();
     }
 
-    /** Whether it is a pattern that ignores case. */
+    /** Returns whether it is a pattern that ignores case. */
     boolean ignoresCase() {
         return modifier.equals("~*");
     }
 
-    /** Whether it is reached by name only. */
+    /** Returns whether it can be reached by name only. */
     boolean isNamed() {
         return modifier.equals("@");
     }
--- a/src/main/java/cacheproxy/fakes/nginx/MapLookup.java
+++ b/src/main/java/cacheproxy/fakes/nginx/MapLookup.java
@@ -4,7 +4,10 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Looks texts up in {@code map} blocks: equal entries, masks of hosts, patterns in order, and the default. */
+/**
+ * Looks up texts in {@code map} blocks: equal entries, then host masks, then patterns in order, and finally the
+ * default.
+ */
 final class MapLookup {
     private static final Set<String> OPTIONS = Set.of("default", "hostnames", "volatile");
 
@@ -14,7 +17,7 @@
         this.patterns = patterns;
     }
 
-    /** The value for a text, in which variables are not replaced. */
+    /** Returns the value for a text, without expanding variables in the value. */
     String lookUp(Directive map, String text) {
         String found = equalEntry(map, text);
         if (found == null && !map.childrenNamed("hostnames").isEmpty()) {
@@ -44,7 +47,7 @@
         return null;
     }
 
-    /** The value of the longest mask that has its star at the front, or at the end. */
+    /** Returns the value of the longest matching mask with its star at the front, or else at the end. */
     private static String longestMask(Directive map, String host, boolean atFront) {
         String found = null;
         int longest = 0;
--- a/src/main/java/cacheproxy/fakes/nginx/PathNormalizer.java
+++ b/src/main/java/cacheproxy/fakes/nginx/PathNormalizer.java
@@ -6,7 +6,7 @@
 
     private PathNormalizer() {}
 
-    /** The normalized path; null if nginx answers 400. */
+    /** Returns the normalized path; null if nginx answers 400. */
     static String normalize(String raw) {
         String path = decode(raw);
         if (path == null || !path.startsWith("/")) {
--- a/src/main/java/cacheproxy/fakes/nginx/PatternCache.java
+++ b/src/main/java/cacheproxy/fakes/nginx/PatternCache.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Compiled patterns. */
+/** Caches compiled patterns. */
 final class PatternCache {
     private record Key(String regex, boolean ignoreCase) {}
 
     private final Map<Key, Pattern> patterns = new HashMap<>();
 
-    /** The pattern of a regular expression. */
+    /** Returns the compiled pattern of a regular expression. */
     Pattern get(String regex, boolean ignoreCase) {
         return patterns.computeIfAbsent(
                 new Key(regex, ignoreCase), key -> Pattern.compile(regex, ignoreCase ? Pattern.CASE_INSENSITIVE : 0));
--- a/src/main/java/cacheproxy/fakes/nginx/ReferenceHashes.java
+++ b/src/main/java/cacheproxy/fakes/nginx/ReferenceHashes.java
@@ -1,6 +1,6 @@
 package cacheproxy.fakes.nginx;
 
-/** The hash functions of nginx, written out from their definitions. */
+/** The hash functions of nginx, implemented from their definitions. */
 final class ReferenceHashes {
     private static final long UNSIGNED_MASK = 0xFFFFFFFFL;
     private static final long MURMUR_MULTIPLIER = 0x5bd1e995L;
@@ -8,7 +8,7 @@
 
     private ReferenceHashes() {}
 
-    /** MurmurHash2 with seed 0, as an unsigned 32-bit number. */
+    /** Returns the MurmurHash2 with seed 0 as an unsigned 32-bit number. */
     static long murmur2(byte[] data) {
         long hash = data.length;
         int offset = 0;
@@ -39,7 +39,7 @@
         return value * MURMUR_MULTIPLIER & UNSIGNED_MASK;
     }
 
-    /** CRC-32 of ISO 3309, bit by bit. */
+    /** Returns the CRC-32 of ISO 3309, computed bit by bit. */
     static long crc32(byte[] data) {
         long crc = UNSIGNED_MASK;
         for (byte next : data) {
--- a/src/main/java/cacheproxy/fakes/nginx/RequestInterpreter.java
+++ b/src/main/java/cacheproxy/fakes/nginx/RequestInterpreter.java
@@ -3,9 +3,9 @@
 import cacheproxy.nginx.Directive;
 import java.util.List;
 
-/** Interprets a configuration for requests, phase by phase. */
+/** Interprets a configuration for each request, phase by phase. */
 public final class RequestInterpreter {
-    /** nginx fails a request after so many changes of its location. */
+    /** Number of location changes after which nginx fails a request. */
     private static final int MAX_LOCATION_CHANGES = 10;
 
     private final ServerSelector servers;
@@ -24,7 +24,7 @@
         contentHandler = new ContentHandler(http.upstreams(), variables, rewrites);
     }
 
-    /** The first socket of the configuration. */
+    /** Returns the first socket of the configuration. */
     public String firstSocket() {
         return servers.firstSocket();
     }
@@ -32,7 +32,7 @@
     /**
      * Interprets a request.
      *
-     * @param socket where it comes in: {@code address:port}, or {@code *:port}
+     * @param socket the socket on which the request arrives: {@code address:port}, or {@code *:port}
      * @param requestUri path and query
      */
     public Response respond(String socket, String method, String host, String requestUri) {
@@ -56,7 +56,7 @@
         return request.response();
     }
 
-    /** Finds the location and runs it; returns whether a location is to be searched again. */
+    /** Finds the location and runs it; returns whether a location must be searched again. */
     private boolean runLocation(Directive server, SimulatedRequest request) {
         Directive location = locations.find(server.block(), request);
         if (request.isAnswered()) {
@@ -88,7 +88,10 @@
         rewrites.run(location.block(), request);
     }
 
-    /** Whether a location, or the server without one, takes requests from clients. */
+    /**
+     * Returns whether a location, or the server if no location matches, accepts the request; internal locations accept
+     * only internally redirected requests.
+     */
     private static boolean isServed(Directive server, Directive location, SimulatedRequest request) {
         if (location == null) {
             return server.lastChildNamed("try_files") != null;
--- a/src/main/java/cacheproxy/fakes/nginx/RewriteInterpreter.java
+++ b/src/main/java/cacheproxy/fakes/nginx/RewriteInterpreter.java
@@ -14,7 +14,10 @@
         this.variables = variables;
     }
 
-    /** Runs the rewrite directives of a block, until one of them ends the request or the set. */
+    /**
+     * Runs the rewrite directives of a block until one of them ends the request or the processing of the rewrite
+     * directives.
+     */
     void run(List<Directive> block, SimulatedRequest request) {
         for (Directive directive : block) {
             if (request.isAnswered() || request.isRewriteEnded()) {
@@ -50,7 +53,10 @@
         return false;
     }
 
-    /** Runs the block of an {@code if}; returns whether a rewrite in it has ended the whole set. */
+    /**
+     * Runs the block of an {@code if}; returns whether a rewrite in it has ended the processing of all rewrite
+     * directives.
+     */
     private boolean runIf(Directive directive, SimulatedRequest request) {
         Directive pass = directive.lastChildNamed("proxy_pass");
         pass = pass != null ? pass : directive.lastChildNamed("memcached_pass");
@@ -65,7 +71,7 @@
                         .anyMatch(rewrite -> rewrite.arg(2).equals("last"));
     }
 
-    /** Runs a {@code rewrite}; returns whether it ends the set. */
+    /** Runs a {@code rewrite}; returns whether it ends the processing of the rewrite directives. */
     private boolean rewrite(Directive directive, SimulatedRequest request) {
         Matcher match = patterns.get(directive.arg(0), false).matcher(request.path());
         if (!match.find()) {
@@ -90,7 +96,7 @@
     private boolean conditionHolds(Directive directive, SimulatedRequest request) {
         String[] words = condition(directive).split("\\s+", 3);
         if (!words[0].startsWith("$")) {
-            return words[0].startsWith("!-"); // there are no files
+            return words[0].startsWith("!-"); // no files exist in the model, so only negated file tests are true
         }
         String value = variables.expand(words[0], request);
         if (words.length == 1) {
--- a/src/main/java/cacheproxy/fakes/nginx/ServerSelector.java
+++ b/src/main/java/cacheproxy/fakes/nginx/ServerSelector.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * Selects the server block of a request: by exact name, the longest wildcard at the front, the longest at the end, the
- * first pattern, and else the default server of the socket.
+ * Selects the server block of a request: by exact name, then the longest name with a wildcard at the front, then the
+ * longest with a wildcard at the end, then the first pattern, and otherwise the default server of the socket.
  */
 final class ServerSelector {
     private static final String DEFAULT_SOCKET = "*:80";
@@ -21,12 +21,12 @@
         this.patterns = patterns;
     }
 
-    /** The first socket of the configuration. */
+    /** Returns the first socket of the configuration. */
     String firstSocket() {
         return servers.isEmpty() ? DEFAULT_SOCKET : sockets(servers.get(0)).get(0);
     }
 
-    /** The server of a request; null if none listens there. */
+    /** Returns the server of a request; null if none listens on the socket. */
     Directive select(String socket, String host) {
         List<Directive> candidates = servers.stream()
                 .filter(server -> sockets(server).contains(socket))
@@ -60,7 +60,7 @@
         return text.startsWith("unix:") || hasPort ? text : text + DEFAULT_PORT;
     }
 
-    /** Names of a server, in lower case but for patterns. */
+    /** Returns the names of a server; all but patterns are in lower case. */
     private static List<String> names(Directive server) {
         List<String> names = new ArrayList<>();
         for (Directive serverName : server.childrenNamed("server_name")) {
@@ -131,7 +131,7 @@
         return null;
     }
 
-    /** The first server that is marked as default, else the first one. */
+    /** Returns the first server that is marked as default, or else the first one. */
     private static Directive defaultServer(List<Directive> candidates, String socket) {
         for (Directive server : candidates) {
             for (Directive listen : server.childrenNamed("listen")) {
--- a/src/main/java/cacheproxy/fakes/nginx/SimulatedRequest.java
+++ b/src/main/java/cacheproxy/fakes/nginx/SimulatedRequest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 
-/** A request while it is interpreted. */
+/** The state of a request during its interpretation. */
 final class SimulatedRequest {
     private final String host;
     private final String method;
@@ -19,9 +19,9 @@
     private boolean pathChangedInLocation;
     private boolean pathEverChanged;
     private boolean rewriteEnded;
-    /** The last match with groups; null: none. */
+    /** The last match with groups; null if there is none. */
     private Matcher groups;
-    /** What an {@code if} has put in place of the location's own {@code proxy_pass}; null: nothing. */
+    /** The {@code proxy_pass} of an {@code if} that replaces that of the location; null if there is none. */
     private Directive handler;
     /** Null until the request is answered. */
     private Response response;
@@ -34,7 +34,7 @@
         this.args = args;
     }
 
-    /** Reads a request; null if its path is malformed. */
+    /** Parses a request; returns null if its path is malformed. */
     static SimulatedRequest of(String method, String host, String uriWithFragment) {
         int hash = uriWithFragment.indexOf('#');
         String uri = hash < 0 ? uriWithFragment : uriWithFragment.substring(0, hash);
@@ -44,114 +44,114 @@
         return path == null ? null : new SimulatedRequest(method, host.toLowerCase(Locale.ROOT), uri, path, args);
     }
 
-    /** The host, in lower case. */
+    /** Returns the host in lower case. */
     String host() {
         return host;
     }
 
-    /** The method, such as {@code GET}. */
+    /** Returns the method, such as {@code GET}. */
     String method() {
         return method;
     }
 
-    /** Path and query as they came in. */
+    /** Returns path and query as received. */
     String requestUri() {
         return requestUri;
     }
 
-    /** The query; empty if there is none. */
+    /** Returns the query; empty if there is none. */
     String args() {
         return args == null ? "" : args;
     }
 
-    /** The query with its question mark; empty if there is none. */
+    /** Returns the query with its question mark; empty if there is none. */
     String query() {
         return args == null ? "" : "?" + args;
     }
 
-    /** The current path, normalized. */
+    /** Returns the current path, normalized. */
     String path() {
         return path;
     }
 
-    /** Whether the path has been changed since it came in. */
+    /** Returns whether the path has been changed since the request was received. */
     boolean isPathEverChanged() {
         return pathEverChanged;
     }
 
-    /** Whether the path has been changed since its location was found. */
+    /** Returns whether the path has been changed since its location was found. */
     boolean isPathChangedInLocation() {
         return pathChangedInLocation;
     }
 
-    /** Sets a path by a {@code rewrite}. */
+    /** Sets the path of a {@code rewrite}. */
     void rewritePath(String newPath) {
         redirectTo(newPath);
         pathChangedInLocation = true;
     }
 
-    /** Sets a path for which a location is to be searched. */
+    /** Sets a path for which a location must be searched. */
     void redirectTo(String newPath) {
         path = newPath;
         pathEverChanged = true;
     }
 
-    /** Begins the rewrite directives of a location. */
+    /** Resets the state that is kept per location, before its rewrite directives run. */
     void enterLocation() {
         pathChangedInLocation = false;
     }
 
-    /** Whether a {@code break} has ended the rewrite directives. */
+    /** Returns whether a {@code break} has ended the rewrite directives. */
     boolean isRewriteEnded() {
         return rewriteEnded;
     }
 
-    /** Ends the rewrite directives, or lets those of the next location run. */
+    /** Sets whether the rewrite directives have ended; false allows those of the next location to run. */
     void setRewriteEnded(boolean ended) {
         rewriteEnded = ended;
     }
 
-    /** Values given by {@code set}; may be changed. */
+    /** Returns the variables assigned by {@code set}; the map is mutable. */
     Map<String, String> variables() {
         return variables;
     }
 
-    /** The match whose groups {@code $1} and so on mean; null: none. */
+    /** Returns the match to whose groups {@code $1} and so on refer; null if there is none. */
     Matcher groups() {
         return groups;
     }
 
-    /** Sets the match whose groups variables mean. */
+    /** Sets the match to whose groups {@code $1} and so on refer. */
     void setGroups(Matcher match) {
         groups = match;
     }
 
-    /** The {@code proxy_pass} of an {@code if}, which replaces that of the location; null: none. */
+    /** Returns the {@code proxy_pass} of an {@code if} that replaces that of the location; null if there is none. */
     Directive handler() {
         return handler;
     }
 
-    /** Sets the {@code proxy_pass} that replaces that of the location; null: none. */
+    /** Sets the {@code proxy_pass} that replaces that of the location; null for none. */
     void setHandler(Directive pass) {
         handler = pass;
     }
 
-    /** The response; null until there is one. */
+    /** Returns the response; null until there is one. */
     Response response() {
         return response;
     }
 
-    /** Whether there is a response. */
+    /** Returns whether there is a response. */
     boolean isAnswered() {
         return response != null;
     }
 
-    /** Ends the request with a response of nginx itself. */
+    /** Completes the request with a response of nginx itself. */
     void answer(int status) {
         response = Response.ofStatus(status);
     }
 
-    /** Ends the request with a response. */
+    /** Completes the request with a response. */
     void answer(Response ending) {
         response = ending;
     }
--- a/src/main/java/cacheproxy/fakes/nginx/UpstreamBalancer.java
+++ b/src/main/java/cacheproxy/fakes/nginx/UpstreamBalancer.java
@@ -15,24 +15,24 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** Selects servers of upstreams, as far as the request alone decides. */
+/** Selects servers of upstreams, if the choice depends on the request alone. */
 final class UpstreamBalancer {
     private static final Set<String> METHODS = Set.of("hash", "ip_hash", "least_conn", "random", "least_time");
     private static final Pattern HOST_AND_PORT = Pattern.compile("^(.*):([0-9]*)$");
-    /** After so many servers that are down nginx goes over to round robin. */
+    /** Number of unavailable servers after which nginx falls back to round robin. */
     private static final int MAX_TRIES = 20;
 
     private static final int POINTS_PER_WEIGHT = 160;
 
     private final VariableExpander variables;
-    /** Rings of {@code hash ... consistent} by upstream: names of servers by point. */
+    /** Rings of {@code hash ... consistent} by upstream; each maps points to names of servers. */
     private final Map<String, NavigableMap<Long, String>> rings = new HashMap<>();
 
     UpstreamBalancer(VariableExpander variables) {
         this.variables = variables;
     }
 
-    /** A server that is no backup. */
+    /** A server that is not a backup. */
     private record Peer(String name, int weight, boolean down) {
         static Peer of(Directive server) {
             int weight = 1;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** The server of a request; null if more than the request decides. */
+    /** Returns the server of a request; null if the choice depends on more than the request. */
     String select(Directive upstream, SimulatedRequest request) {
         List<Peer> peers = upstream.childrenNamed("server").stream()
                 .filter(server -> !server.args().contains("backup"))
@@ -77,7 +77,7 @@
         return last;
     }
 
-    /** As Cache::Memcached distributes keys. */
+    /** Selects a server in the way in which Cache::Memcached distributes keys. */
     private static String selectByModulo(List<Peer> peers, byte[] key) {
         int totalWeight = peers.stream().mapToInt(Peer::weight).sum();
         long hash = 0;
@@ -105,7 +105,7 @@
         throw new IllegalArgumentException("place " + position + " is not below the sum of weights");
     }
 
-    /** As Cache::Memcached::Fast distributes keys. */
+    /** Selects a server in the way in which Cache::Memcached::Fast distributes keys. */
     private String selectOnRing(String upstream, List<Peer> peers, byte[] key) {
         NavigableMap<Long, String> ring = rings.computeIfAbsent(upstream, absent -> ring(peers));
         Set<String> down = peers.stream().filter(Peer::down).map(Peer::name).collect(Collectors.toSet());
@@ -145,7 +145,7 @@
         return points;
     }
 
-    /** The text that a server's points are made of: host and port with a zero byte between them. */
+    /** Returns the text that is hashed to the points of a server: host and port, separated by a zero byte. */
     private static String pointText(String name) {
         if (name.toLowerCase(Locale.ROOT).startsWith("unix:")) {
             return name.substring("unix:".length()) + "\0";
--- a/src/main/java/cacheproxy/fakes/nginx/VariableExpander.java
+++ b/src/main/java/cacheproxy/fakes/nginx/VariableExpander.java
@@ -7,11 +7,16 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Replaces variables by their values for a request. Headers, cookies and addresses of clients are unknown: empty. */
+/**
+ * Replaces variables by their values for a request. Headers, cookies and client addresses are not modeled; their
+ * variables are empty.
+ */
 final class VariableExpander {
     private static final Pattern VARIABLE = Pattern.compile("\\$(?:\\{(\\w+)}|([0-9])|([A-Za-z_]\\w*))");
     private static final String ARGUMENT_PREFIX = "arg_";
-    /** nginx computes shares of this number, in hundredths of a percent. */
+    /**
+     * The largest hash value, of which nginx computes the shares of {@code split_clients}, in hundredths of a percent.
+     */
     private static final long MAX_HASH = 4294967295L;
 
     private static final long HUNDREDTHS_OF_WHOLE = 10_000;
@@ -24,7 +29,7 @@
         maps = new MapLookup(patterns);
     }
 
-    /** The text with the values of its variables. */
+    /** Returns the text with its variables replaced by their values. */
     String expand(String text, SimulatedRequest request) {
         StringBuilder out = new StringBuilder();
         Matcher variable = VARIABLE.matcher(text);
@@ -77,7 +82,7 @@
         return group == null ? "" : group;
     }
 
-    /** The value of a variable of nginx itself; null if there is none of that name. */
+    /** Returns the value of a built-in variable of nginx; null if there is none of that name. */
     private static String builtIn(String name, SimulatedRequest request) {
         return switch (name) {
             case "uri", "document_uri" -> request.path();
@@ -101,7 +106,7 @@
         return "";
     }
 
-    /** The first block that defines a variable; null if there is none. */
+    /** Returns the first block that defines a variable; null if there is none. */
     private Directive definition(String name) {
         for (Directive directive : http) {
             boolean isShortGeo =
@@ -126,7 +131,7 @@
         };
     }
 
-    /** The value of the share in which a text's hash is. */
+    /** Returns the value of the share that contains the hash of a text. */
     private static String split(Directive splitClients, String text) {
         long hash = ReferenceHashes.murmur2(text.getBytes(StandardCharsets.ISO_8859_1));
         long bound = 0;
--- a/src/test/java/cacheproxy/ci/CheckstyleSuppressionsTest.java
+++ b/src/test/java/cacheproxy/ci/CheckstyleSuppressionsTest.java
@@ -11,12 +11,12 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Keeps the list of files that do not pass Checkstyle from growing. */
+/** Ensures that the list of files that do not pass Checkstyle does not grow. */
 class CheckstyleSuppressionsTest {
     private static final Path LIST = Path.of("config/checkstyle-suppressions.xml");
     private static final Pattern ENTRY = Pattern.compile("<suppress files=\"([^\"]+)\" checks=\"([^\"]+)\"/>");
 
-    /** Pairs of file and rule that are excepted today; lower it with each pair that goes. */
+    /** Number of suppressed pairs of file and rule; lower it whenever a pair is removed. */
     private static final int MAX_EXCEPTED_CHECKS = 92;
 
     @Test
--- a/src/test/java/cacheproxy/ci/KnownRed.java
+++ b/src/test/java/cacheproxy/ci/KnownRed.java
@@ -10,12 +10,13 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Passes over the tests that the file of the system property {@code known.red} names, as Class#method, and no others.
+ * Skips exactly the tests that are listed, as Class#method, in the file that the system property {@code known.red}
+ * names.
  */
 public final class KnownRed implements ExecutionCondition {
     private final List<String> entries;
 
-    /** By the system property; CI alone sets it. */
+    /** Reads the file that the system property names; only CI sets it. */
     public KnownRed() {
         this(System.getProperty("known.red", ""));
     }
--- a/src/test/java/cacheproxy/ci/KnownRedTest.java
+++ b/src/test/java/cacheproxy/ci/KnownRedTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What CI passes over: the tests of the list, while it holds, and nothing else. */
+/** Tests that CI skips the tests of a valid list, rejects an invalid list, and skips nothing else. */
 class KnownRedTest {
     private static final String ENTRY = "KnownRedTest#aListThatDoesNotHoldFailsTheRun, a made-up cause "
             + "(bash .ci/run; seed 7; 1 of 9 runs), issue 1\n";
@@ -54,7 +54,7 @@
                 .isNotZero();
     }
 
-    /** Guards against an entry that nobody can repeat or follow up. */
+    /** Guards against an entry without the information needed to reproduce the failure or to follow it up. */
     @ParameterizedTest
     @ValueSource(strings = {" (bash .ci/run; seed 7; 1 of 9 runs)", "bash .ci/run; ", "seed 7; ", ", issue 1", " 1\n"})
     void entryWithoutCommandSeedOrIssueFailsTheRun(String part) throws Exception {
--- a/src/test/java/cacheproxy/golden/GoldenFiles.java
+++ b/src/test/java/cacheproxy/golden/GoldenFiles.java
@@ -9,8 +9,8 @@
 import java.util.stream.Stream;
 
 /**
- * The expected texts under {@code src/test/resources/golden}. A changed text is written beside the build's other
- * output.
+ * Compares texts with the expected ones under {@code src/test/resources/golden}. The actual text is written to
+ * {@code target/golden}.
  */
 public final class GoldenFiles {
     private static final Path EXPECTED = Path.of("src/test/resources/golden");
@@ -18,7 +18,7 @@
 
     private GoldenFiles() {}
 
-    /** Fails where the text is not that of the resource of this name. */
+    /** Fails if the text differs from the golden file of this name. */
     public static void assertSame(String name, String actual) throws IOException {
         Path written = ACTUAL.resolve(name);
         Files.createDirectories(written.getParent());
@@ -30,7 +30,7 @@
         assertThat(actual).as("%s; what was found is in %s", expected, written).isEqualTo(Files.readString(expected));
     }
 
-    /** Names of the files of a directory that end so, in order. */
+    /** Returns the sorted names of the files of a directory that end with {@code suffix}. */
     public static List<String> names(Path directory, String suffix) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             return files.map(file -> file.getFileName().toString())
--- a/src/test/java/cacheproxy/golden/ValueText.java
+++ b/src/test/java/cacheproxy/golden/ValueText.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 
 /**
- * Renders all values of an object graph without a name of a class, a field or an enum constant, so that a text stays as
- * it is when these are renamed. One value a line, indented by its depth; fields stand in the order of their
- * declaration.
+ * Renders all values of an object graph without the names of classes, fields and enum constants, so that a text does
+ * not change when these are renamed. Each value is on its own line, indented by its depth; fields are in the order of
+ * their declaration.
  */
 public final class ValueText {
     private static final String INDENT = "  ";
@@ -74,7 +74,7 @@
     }
 
     private void addMap(Map<?, ?> map) {
-        // A class as a key has a name of the program's own, so the value alone stands for it.
+        // A class used as a key has a name that may change, so only the value is rendered.
         boolean byClass = map.keySet().stream().anyMatch(Class.class::isInstance);
         List<String> entries = new ArrayList<>();
         map.forEach((key, value) -> entries.add((byClass ? "" : of(key)) + of(value)));
--- a/src/test/java/cacheproxy/soak/ProxyFaults.java
+++ b/src/test/java/cacheproxy/soak/ProxyFaults.java
@@ -9,23 +9,26 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
 
-/** What befalls the process of one proxy: stops, kills, planned ends, signals in series. Used from several threads. */
+/** Faults of a proxy's process: pauses, kills, planned shutdowns and series of signals. Used from several threads. */
 final class ProxyFaults {
-    /** Writes the configuration of a proxy with one of two addresses of discovery. */
+    /** Writes the configuration of a proxy with one of the two discovery addresses. */
     interface Configuration {
         void write(SoakProxy proxy, int discovery) throws IOException;
     }
 
-    /** The earliest SIGKILL after SIGTERM: the longest deadline of the classes below, and 0.7 s. */
+    /** The earliest SIGKILL after SIGTERM: the longest deadline of the classes (900 ms) plus 0.7 s. */
     private static final long EARLIEST_KILL_MS = 1600;
-    /** From and until when after SIGTERM new connections are still served. */
+    /**
+     * The interval after SIGTERM, from this time to {@code LATE_CONNECTION_UNTIL_MS}, in which new connections are
+     * still served.
+     */
     private static final int LATE_CONNECTION_FROM_MS = 200;
 
     private static final int LATE_CONNECTION_UNTIL_MS = 400;
 
     private final SoakHistory history;
     private final Configuration configuration;
-    /** Numbers the requests of connections that come late in an end. */
+    /** Numbers the clients that connect late in a shutdown. */
     private final AtomicInteger lateClients = new AtomicInteger();
 
     ProxyFaults(SoakHistory history, Configuration configuration) {
@@ -33,7 +36,7 @@
         this.configuration = configuration;
     }
 
-    /** Stops the process for a moment. */
+    /** Pauses the process for 50 to 700 ms. */
     void pause(SoakProxy proxy, Random random) throws Exception {
         long from = System.nanoTime();
         proxy.signal("STOP");
@@ -43,7 +46,7 @@
         history.outages.add(new Outage(proxy.number, from, inForce, System.nanoTime()));
     }
 
-    /** Ends the process without a word, and starts the next. */
+    /** Kills the process without warning, and starts the next. */
     void kill(SoakProxy proxy, Random random) throws Exception {
         long from = System.nanoTime();
         proxy.kill();
@@ -53,7 +56,10 @@
         restart(proxy, random);
     }
 
-    /** A planned end, in which clients go on and further signals may come, and SIGKILL as early as it may. */
+    /**
+     * Shuts the process down as planned, while clients continue and further signals may follow, with SIGKILL at the
+     * earliest permitted time; then starts the next.
+     */
     void terminate(SoakProxy proxy, Random random) throws Exception {
         shutDown(proxy, random);
         restart(proxy, random);
@@ -84,7 +90,10 @@
         history.processExits.add(new ProcessExit(proxy.number, ended));
     }
 
-    /** Starts it again; some starts get a signal with the first connection, and some are ended by it. */
+    /**
+     * Starts the proxy again; some starts receive a signal with their first connection, and some of these are shut down
+     * by it.
+     */
     private void restart(SoakProxy proxy, Random random) throws Exception {
         configuration.write(proxy, 0);
         proxy.start();
@@ -102,7 +111,7 @@
         proxy.awaitReady();
     }
 
-    /** Several configurations in quick succession; the last one stays. */
+    /** Writes several configurations in quick succession; the last one remains. */
     void switchDiscovery(SoakProxy proxy, Random random) throws Exception {
         for (int i = 1 + random.nextInt(3); i > 0; i--) {
             configuration.write(proxy, random.nextInt(2));
--- a/src/test/java/cacheproxy/soak/SoakClient.java
+++ b/src/test/java/cacheproxy/soak/SoakClient.java
@@ -16,14 +16,17 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A client of one proxy: most of its requests are plain; some are pipelined, in pieces, left early, or stopped in their
- * middle.
+ * A client of one proxy. Most of its requests are regular; some are pipelined, sent in pieces, abandoned before the
+ * answer, or left incomplete.
  */
 final class SoakClient implements Runnable {
     private static final int MIN_DEADLINE_MS = 150;
     private static final int MAX_DEADLINE_MS = 900;
     private static final int ANSWER_TIMEOUT_MS = 2500;
-    /** What a client that stops midway is owed its close in: 3 s, and what a busy machine may add. */
+    /**
+     * The time within which the proxy must close a connection with an incomplete command: 3 s, and a margin for a busy
+     * machine.
+     */
     private static final int MIDWAY_TIMEOUT_MS = 6000;
 
     private final String name;
@@ -33,7 +36,7 @@
     private final Random random;
     private final long endNanos;
     private int requestCount;
-    /** When the present connection had come up. */
+    /** When the current connection had been established. */
     private long connectedNanos;
 
     SoakClient(String name, int proxy, int port, SoakHistory history, long seed, long endNanos) {
@@ -53,12 +56,12 @@
                 socket.setSoTimeout(ANSWER_TIMEOUT_MS);
                 useConnection(socket);
             } catch (IOException e) {
-                pause(20); // the proxy is not there
+                pause(20); // the proxy is not running
             }
         }
     }
 
-    /** Asks once on a new connection, which has to come up; a complaint names {@code what} otherwise. */
+    /** Sends one request on a new connection; records an error that names {@code what} if the connection fails. */
     void requestOnce(String what) {
         try (Socket socket = connect()) {
             socket.setTcpNoDelay(true);
@@ -137,7 +140,7 @@
         return batch;
     }
 
-    /** Closes, or resets, before the answer; some time after sending or at once. */
+    /** Closes or resets the connection before the answer, up to 120 ms after the request was sent. */
     private void closeBeforeAnswer(Socket socket, List<Request> sent) throws IOException {
         pause(random.nextInt(120));
         if (random.nextBoolean()) {
@@ -153,16 +156,16 @@
         socket.setSoTimeout(MIDWAY_TIMEOUT_MS);
         try {
             while (in.read() >= 0) {
-                // an error line is as good as the end
+                // an error line may precede the close
             }
         } catch (SocketTimeoutException e) {
             history.errors.add("stopped midway: n" + proxy + " has not closed within " + MIDWAY_TIMEOUT_MS + " ms");
         } catch (IOException e) {
-            // a reset is an end, too
+            // a reset also closes the connection
         }
     }
 
-    /** False if the connection ended. */
+    /** Reads an answer; returns false if the connection ended or timed out. */
     private boolean readAnswer(InputStream in, Request request) {
         try {
             String line = ScriptedServer.readLine(in);
--- a/src/test/java/cacheproxy/soak/SoakHistory.java
+++ b/src/test/java/cacheproxy/soak/SoakHistory.java
@@ -5,34 +5,39 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** What clients, servers and the fault injector have seen in a round, all on this process's {@link System#nanoTime}. */
+/**
+ * Events of a round as recorded by clients, servers and the fault injector; all times are of this process's
+ * {@link System#nanoTime}.
+ */
 final class SoakHistory {
-    /** Effects of a request's class. */
+    /** The effect of a request's class. */
     enum Effect {
         SAFE,
         SINGLE
     }
 
-    /** One request as its client saw it; fields are written by its client's thread and read once the round is over. */
+    /** A request as its client saw it; its fields are written by the client's thread and read after the round. */
     static final class Request {
         final String id;
         final int proxy;
         final Effect effect;
         final int deadlineMs;
-        /** The longest wait of those before it on its connection and its own: answers come in order. */
+        /**
+         * The longest deadline of this request and of those before it in its batch, because answers arrive in order.
+         */
         volatile int orderedDeadlineMs;
 
-        /** When its connection had come up. */
+        /** When its connection had been established. */
         volatile long connectedNanos;
 
         volatile long writeStartNanos;
-        /** When the last byte was handed to the system; 0: it never was. */
+        /** When the last byte had been passed to the operating system; 0 if it was not. */
         volatile long sentNanos;
-        /** When the client closed its connection before the answer; 0: it did not. */
+        /** When the client closed its connection before the answer; 0 if it did not. */
         volatile long closedNanos;
-        /** When the last byte of the answer came; 0: none. */
+        /** When the last byte of the answer arrived; 0 if there was none. */
         volatile long answeredNanos;
-        /** When the connection ended by the proxy's side without an answer; 0: it did not. */
+        /** When the proxy's side ended the connection without an answer; 0 if it did not. */
         volatile long cutNanos;
 
         Request(String id, int proxy, Effect effect, int deadlineMs) {
@@ -44,28 +49,29 @@
         }
     }
 
-    /** A command that came whole to a server. */
+    /** A command that arrived at a server in full. */
     record Arrival(String id, String server, long atNanos, double deadlineMs, boolean takesEffect) {}
 
     /**
-     * A span in which a proxy's process was stopped or killed: what its clients see then is not the proxy's fault.
+     * A period in which a proxy's process was paused or killed; failures that its clients see then are not faults of
+     * the proxy.
      *
-     * @param fromNanos when the signal was asked for; until {@code inForceNanos} the process may still have been
-     *     running
-     * @param inForceNanos when the signal had been delivered for certain
-     * @param toNanos when the process was running again for certain
+     * @param fromNanos when the signal was requested; the process may still have been running until
+     *     {@code inForceNanos}
+     * @param inForceNanos when the signal had certainly been delivered
+     * @param toNanos when the process was certainly running again
      */
     record Outage(int proxy, long fromNanos, long inForceNanos, long toNanos) {}
 
     /**
-     * A planned end of a proxy's process, in which it owes what it has taken.
+     * A planned shutdown of a proxy's process, which must still answer the requests that it has received.
      *
      * @param requestedNanos when SIGTERM was about to be sent
-     * @param endedNanos when the process had ended for certain, by itself or by SIGKILL
+     * @param endedNanos when the process had certainly exited, by itself or by SIGKILL
      */
     record Shutdown(int proxy, long requestedNanos, long endedNanos) {}
 
-    /** A proxy's process, with all its connections, had ended for certain, in whatever way. */
+    /** The time at which a proxy's process, with all its connections, had certainly ended, for whatever reason. */
     record ProcessExit(int proxy, long endedNanos) {}
 
     final Map<String, Request> requests = new ConcurrentHashMap<>();
@@ -73,10 +79,13 @@
     final Queue<Outage> outages = new ConcurrentLinkedQueue<>();
     final Queue<Shutdown> shutdowns = new ConcurrentLinkedQueue<>();
     final Queue<ProcessExit> processExits = new ConcurrentLinkedQueue<>();
-    /** From when on nobody may be sent anything, by server. */
+    /**
+     * When each drained server was listed as draining or removed. Requests must stop arriving there once the proxies
+     * know of the change and the drain grace is over.
+     */
     final Map<String, Long> drainedNanos = new ConcurrentHashMap<>();
-    /** What a process said of itself that is a fault. */
+    /** Faults that were recorded directly: those that processes report or log, and those that clients observe. */
     final Queue<String> errors = new ConcurrentLinkedQueue<>();
-    /** The longest time by which this process's own loop and threads were late. */
+    /** The largest lateness of this process's own event loop. */
     volatile long maxLatenessNanos;
 }
--- a/src/test/java/cacheproxy/soak/SoakIT.java
+++ b/src/test/java/cacheproxy/soak/SoakIT.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The soak: random, overlapping faults over processes of the packaged program, judged by the invariants from outside.
- * CI plays a short form of fixed seeds. In full: {@code mvn failsafe:integration-test -Dit.test=SoakIT -Dsoak.first=1
- * -Dsoak.rounds=40 -Dsoak.proxies=30 -Dsoak.seconds=60}.
+ * The soak test: applies random, overlapping faults to processes of the packaged program and checks the invariants from
+ * outside of them. CI runs a short form with fixed seeds. The full form is {@code mvn failsafe:integration-test
+ * -Dit.test=SoakIT -Dsoak.first=1 -Dsoak.rounds=40 -Dsoak.proxies=30 -Dsoak.seconds=60}.
  */
 class SoakIT {
     private static final int FIRST_SEED = Integer.getInteger("soak.first", 1);
@@ -47,7 +47,7 @@
         assertThat(all).isEmpty();
     }
 
-    /** The judge finds each kind of violation in a history that has it, and none in one that is sound. */
+    /** Verifies that the judge finds each kind of violation in a history that has it, and none in a correct one. */
     @Test
     void judgeFindsEachKindOfViolation() {
         SoakHistory sound = new SoakHistory();
@@ -98,7 +98,7 @@
                 .startsWith("drain: e");
     }
 
-    /** Guards against a judge that passes over what a process owes when it ends as planned. */
+    /** Guards against a judge that ignores requests left unanswered by a process in a planned shutdown. */
     @Test
     void judgeFindsRequestsCutInPlannedShutdown() {
         assertThat(SoakJudge.violations(readCutInPlannedShutdown(900, 1300), 2000))
@@ -138,7 +138,8 @@
     }
 
     /**
-     * A request that was sent at 10 ms and told its first deadline after a stop asked for and in force at these times.
+     * Returns a history with a request that was sent at 10 ms and arrived at a server with its full deadline just after
+     * a pause of its proxy, which was requested at {@code fromMs} and in force at {@code inForceMs}.
      */
     private static SoakHistory readWithPause(int fromMs, int inForceMs) {
         SoakHistory history = new SoakHistory();
@@ -150,7 +151,10 @@
         return history;
     }
 
-    /** A request that was sent and cut at these times; its process was told to end at 1 s and had ended at 2.6 s. */
+    /**
+     * Returns a history with a request that was sent and cut at these times; its process was sent SIGTERM at 1 s and
+     * had exited at 2.6 s.
+     */
     private static SoakHistory readCutInPlannedShutdown(int sentMs, int cutMs) {
         SoakHistory history = new SoakHistory();
         Request read = request(history, "g", Effect.SAFE, 500);
--- a/src/test/java/cacheproxy/soak/SoakJudge.java
+++ b/src/test/java/cacheproxy/soak/SoakJudge.java
@@ -11,16 +11,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Holds a round's history against the invariants, from outside of the processes. */
+/** Checks the history of a round, which was recorded outside of the processes, against the invariants. */
 final class SoakJudge {
     private static final double DEADLINE_SLACK_MS = 150;
     private static final double CLIENT_GONE_SLACK_MS = 100;
     private static final double ANSWER_SLACK_MS = 500;
     private static final double LIST_UPDATE_BOUND_MS = 6000;
     private static final double JUST_AFTER_PAUSE_MS = 50;
-    /** A command that was sent this long before SIGTERM was there before it. */
+    /** A command that was sent at least this long before SIGTERM is assumed to have arrived before it. */
     private static final double SENT_BEFORE_SIGTERM_MS = 20;
-    /** For so long a close may be on its way, or a command unread on a proxy that is on time. */
+    /**
+     * The longest time that a close can be in transit, or that a command can remain unread at a proxy that is not late.
+     */
     private static final double CLOSE_IN_TRANSIT_MS = 50;
 
     private static final double NANOS_PER_MS = 1e6;
@@ -36,7 +38,7 @@
         latenessMs = history.maxLatenessNanos / NANOS_PER_MS;
     }
 
-    /** What was violated, a line each. */
+    /** Returns one line for each violation. */
     static List<String> violations(SoakHistory history, double drainGraceMs) {
         SoakJudge judge = new SoakJudge(history, drainGraceMs);
         judge.judgeArrivals();
@@ -53,8 +55,8 @@
                 violations.add("unknown request: " + arrival);
                 continue;
             }
-            // The last byte went out while the client's thread was in its write: by the time that it came back, or that
-            // the command came.
+            // The last byte was sent during the client's write call, so at the latest when the call returned or when
+            // the command arrived.
             double ageMs =
                     request.sentNanos == 0 ? 0 : Math.max(0, (arrival.atNanos() - request.sentNanos) / NANOS_PER_MS);
             double remainingMs = request.deadlineMs - ageMs;
@@ -124,7 +126,7 @@
         }
     }
 
-    /** The planned end that a request was cut in; null if it was not. */
+    /** Returns the planned shutdown in which a request was cut; null if there is none. */
     private Shutdown shutdownThatCut(Request request) {
         for (Shutdown shutdown : history.shutdowns) {
             if (shutdown.proxy() == request.proxy
@@ -138,8 +140,9 @@
     }
 
     /**
-     * Whether a proxy that ended as planned may have closed the connection before the command came. It can't have where
-     * the command was there before SIGTERM, nor where the connection stayed open for long after the command was sent.
+     * Returns whether a proxy in a planned shutdown can have closed the connection before the command arrived. That is
+     * ruled out if the command arrived before SIGTERM, or if the connection stayed open for long after the command was
+     * sent.
      */
     private boolean closedByShutdownBeforeArrival(Request request) {
         Shutdown shutdown = request.cutNanos == 0 ? null : shutdownThatCut(request);
@@ -148,7 +151,7 @@
                 && request.cutNanos - request.sentNanos < (CLOSE_IN_TRANSIT_MS + latenessMs) * NANOS_PER_MS;
     }
 
-    /** Whether the process at the other end of its connection had ended before the command was sent. */
+    /** Returns whether the process at the other end of the connection had exited before the command was sent. */
     private boolean sentToExitedProcess(Request request) {
         for (ProcessExit exit : history.processExits) {
             if (exit.proxy() == request.proxy
@@ -161,9 +164,9 @@
     }
 
     /**
-     * Whether a stop of the process, longer than what it may be held up for between its clock and its writing, struck
-     * just there: then it told what was left when the stop began, of a request that had been sent before. One that was
-     * sent while the stop was in force has no such excuse.
+     * Returns whether a pause of the process explains the reported deadline: the pause fell between the proxy's reading
+     * of the clock and its write, and was longer than the slack allowed there. The proxy then reports the time that was
+     * left when the pause began. This excuses only a request that was sent before the pause was in force.
      */
     private boolean computedBeforePause(Arrival arrival, Request request) {
         for (Outage outage : history.outages) {
@@ -190,8 +193,8 @@
     }
 
     /**
-     * Whether a stop of the process leaves open whether the attempt had begun in time; it may have been written before
-     * the stop.
+     * Returns whether the process was paused just after {@code fromNanos}: the attempt may then have been written in
+     * time, before the pause.
      */
     private boolean pausedAfter(int proxy, long fromNanos) {
         return outageBetween(proxy, fromNanos, fromNanos + (long) (CLIENT_GONE_SLACK_MS * NANOS_PER_MS));
--- a/src/test/java/cacheproxy/soak/SoakProxy.java
+++ b/src/test/java/cacheproxy/soak/SoakProxy.java
@@ -19,16 +19,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** One process of {@code serve}, as the platform starts it. */
+/** A process of the {@code serve} command, started as the platform starts it. */
 final class SoakProxy implements AutoCloseable {
-    /**
-     * Below the ports that the system gives to outgoing connections, so that none has a proxy's port while it restarts.
-     */
+    /** Below the ephemeral ports, so that no outgoing connection takes a proxy's port during its restart. */
     private static final int MIN_PORT = 12_000;
 
     private static final int PORT_COUNT = 18_000;
     private static final long READY_MS = 30_000;
-    /** Ports of all rounds, each given once: a proxy that is not started yet holds its own by nothing else. */
+    /**
+     * Ports that were assigned in all rounds. No port is assigned twice, because nothing else reserves the port of a
+     * proxy that has not been started.
+     */
     private static final Set<Integer> USED_PORTS = new HashSet<>();
 
     final int number;
@@ -62,12 +63,12 @@
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (IOException e) {
-                // taken; another
+                // in use; try another port
             }
         }
     }
 
-    /** Writes the configuration; a running process reads it at SIGHUP. */
+    /** Writes the configuration; a running process reads it on SIGHUP. */
     void configure(String discovery, JsonArray knownHosts) throws IOException {
         config.addProperty("discovery", discovery);
         JsonObject list = new JsonObject();
@@ -104,7 +105,7 @@
         process = builder.start();
     }
 
-    /** Waits until it takes clients. */
+    /** Waits until the process accepts clients. */
     void awaitReady() throws IOException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
         while (!callControl("GET /status").contains(" 200 ")) {
@@ -115,7 +116,10 @@
         }
     }
 
-    /** The status line and the last line of what the control address answers; empty where nothing does. */
+    /**
+     * Sends a request to the control address; returns the first and the last line of the response, or an empty text if
+     * there is none.
+     */
     String callControl(String requestLine) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), controlPort)) {
             socket.setSoTimeout(5000);
@@ -138,7 +142,7 @@
         return process.isAlive();
     }
 
-    /** Not to one that has ended: its number may be another process's by now. */
+    /** Sends a signal, unless the process has exited: its process id may have been reused. */
     void signal(String name) throws IOException, InterruptedException {
         if (process.isAlive()) {
             new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
@@ -147,13 +151,13 @@
         }
     }
 
-    /** Waits for its end until this time, of {@link System#nanoTime}, and kills it then. */
+    /** Waits for the process to exit until this time of {@link System#nanoTime}, and then kills it. */
     void awaitEndOrKill(long untilNanos) throws InterruptedException {
         process.waitFor(Math.max(0, untilNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
         kill();
     }
 
-    /** The first connection that it takes after its start; null if none came up in time. */
+    /** Returns the first connection that the process accepts after its start; null if none was established in time. */
     Socket firstConnection() {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
         while (process.isAlive() && System.nanoTime() < deadlineNanos) {
--- a/src/test/java/cacheproxy/soak/SoakRound.java
+++ b/src/test/java/cacheproxy/soak/SoakRound.java
@@ -22,18 +22,18 @@
 import java.util.stream.Collectors;
 
 /**
- * One round: proxies as processes of their own before servers that misbehave, under clients that do, while processes
- * are stopped, killed, told to end and moved to another discovery, and servers hang, reset, drain and join. All by one
- * seed, overlapping; what the machine adds is its own.
+ * One round of the soak test: proxies in separate processes, in front of faulty servers and with misbehaving clients,
+ * while processes are paused, killed, shut down and switched to another discovery, and servers hang, reset, drain and
+ * join. All faults overlap and are drawn from one seed; the timing of the machine is not reproducible.
  */
 final class SoakRound implements AutoCloseable {
-    /** How big a round is. */
+    /** The size of a round. */
     record Size(int proxies, int clientsEach, int servers, double seconds) {}
 
     static final double DRAIN_GRACE_MS = 2000;
     private static final int LATENESS_CHECK_MS = 10;
     private static final double NANOS_PER_MS = 1e6;
-    /** Stops further from a request than this are not told with it. */
+    /** Pauses and shutdowns further from a request than this are not part of its explanation. */
     private static final long EXPLANATION_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private static final int WARM_UP_REQUESTS = 100;
@@ -149,7 +149,7 @@
         proxy.configure(discoveries[discovery].dial(), knownHosts());
     }
 
-    /** Plays it; what was violated, a line each. */
+    /** Runs the round; returns one line for each violation. */
     List<String> run() throws Exception {
         for (SoakProxy proxy : proxies) {
             configure(proxy, 0);
@@ -192,9 +192,9 @@
     }
 
     /**
-     * Answers some requests on the servers' loop before any is judged: else the first round would load the servers'
-     * classes while requests wait, and record their arrivals late. By servers and a history of its own, so that no
-     * random draw of the round is used up.
+     * Answers some requests on the servers' event loop before any are judged. Otherwise the first round would load the
+     * servers' classes while requests wait, and would record their arrivals late. Uses separate servers and a separate
+     * history, so that the round's random sequence does not change.
      */
     private void warmUpServers() throws Exception {
         SoakHistory unjudged = new SoakHistory();
@@ -236,7 +236,7 @@
         }
     }
 
-    /** What befalls one proxy, on a thread of its own. */
+    /** A fault of one proxy, injected on a worker thread. */
     private interface ProxyFault {
         void inject(SoakProxy proxy, Random random) throws Exception;
     }
@@ -258,7 +258,10 @@
         });
     }
 
-    /** A server drains and is gone later; it stays up, as it may. A few always stay. */
+    /**
+     * Lists a server as draining or removed; the server itself keeps running, as is allowed. Three servers are never
+     * drained.
+     */
     private void drain() {
         List<SoakServer> candidates = servers.stream()
                 .filter(server -> !server.name.equals("origin") && !history.drainedNanos.containsKey(server.name))
@@ -293,8 +296,8 @@
     }
 
     /**
-     * What the processes' event logs say of a request that a violation names; nothing where CORALBAY_EVENT_LOG is not
-     * on.
+     * Returns the recorded history of the request that a violation names, and its lines in the event logs of the
+     * processes; these exist only if CORALBAY_EVENT_LOG is on.
      */
     List<String> explain(String violation) throws IOException {
         Matcher id = REQUEST_ID.matcher(violation);
@@ -310,7 +313,10 @@
         return lines;
     }
 
-    /** What clients and servers saw of a request, and the stops of its proxy about that time; milliseconds. */
+    /**
+     * Returns what clients and servers recorded of a request, and the pauses and shutdowns of its proxy around that
+     * time, in milliseconds.
+     */
     private List<String> explainByHistory(String id) {
         SoakHistory.Request request = history.requests.get(id);
         if (request == null) {
@@ -346,7 +352,7 @@
         return lines;
     }
 
-    /** What was played, in a line. */
+    /** Returns one line that summarizes the round. */
     String summary() {
         String stopped = proxies.stream()
                 .map(proxy -> proxy.callControl("GET /invariants"))
--- a/src/test/java/cacheproxy/soak/SoakServer.java
+++ b/src/test/java/cacheproxy/soak/SoakServer.java
@@ -34,15 +34,18 @@
 import java.util.regex.Pattern;
 
 /**
- * A cache node or the origin that records each request with the deadline that it was told, and misbehaves by chance:
- * late answers, misses, refusals, resets late or at once, requests dropped without a word, idle connections closed, and
- * spells in which it hangs.
+ * A cache node or the origin that records each request with the deadline it carried, and injects random faults: late
+ * answers, misses, refusals, immediate or delayed resets, requests dropped without an answer, connections closed by the
+ * server, and periods in which it hangs.
  */
 final class SoakServer implements AutoCloseable {
     private static final Pattern DEADLINE = Pattern.compile("(?:^|[P,])d=([0-9.]+)");
     private static final int IDLE_CLOSE_MS = 1500;
 
-    /** Chances in a thousand of what befalls a request. */
+    /**
+     * Probabilities, in thousandths, of the faults of a request; {@code maxLateMs} is the bound of a late answer's
+     * delay.
+     */
     record FaultRates(int miss, int refuse, int fail, int reset, int drop, int late, int maxLateMs) {
         static final FaultRates NONE = new FaultRates(0, 0, 0, 0, 0, 0, 1);
     }
@@ -110,7 +113,7 @@
         return "127.0.0.1:" + ((InetSocketAddress) server.localAddress()).getPort();
     }
 
-    /** It carries out what comes and answers nothing, for so long. */
+    /** Executes requests without answering them for {@code ms}. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     void hang(long ms) {
         loop.execute(() -> {
@@ -119,7 +122,7 @@
         });
     }
 
-    /** Resets all connections at once. */
+    /** Resets all connections immediately. */
     void resetAll() {
         loop.execute(() -> connections.forEach(SoakServer::reset));
     }
@@ -140,7 +143,7 @@
     }
 
     /**
-     * Sends itself requests, each on a connection of its own, and waits for the answers; for a server without troubles.
+     * Sends requests to itself, each on a new connection, and waits for the answers; only for a server without faults.
      */
     void warmUp(int requests) throws IOException {
         byte[] request = (isOrigin
@@ -156,7 +159,7 @@
         }
     }
 
-    /** Records a request and says whether it is answered; {@code runs} is whether it takes effect. */
+    /** Records a request and returns whether it is to be answered; {@code takesEffect} tells whether it is executed. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     private boolean recordArrival(Channel channel, String id, String parameters, boolean takesEffect) {
         history.arrivals.add(new SoakHistory.Arrival(
