--- a/src/main/java/cacheproxy/fakes/FakeNginx.java
+++ b/src/main/java/cacheproxy/fakes/FakeNginx.java
@@ -22,7 +22,7 @@
     public FakeNginx(NginxReferenceModel model) throws IOException {
         this.model = model;
         server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-        Thread acceptThread = new Thread(this::accept, "stand-in nginx");
+        Thread acceptThread = new Thread(this::accept, "fake nginx");
         acceptThread.setDaemon(true);
         acceptThread.start();
     }
@@ -35,7 +35,7 @@
         while (!server.isClosed()) {
             try {
                 Socket socket = server.accept();
-                Thread thread = new Thread(() -> serve(socket), "stand-in nginx client");
+                Thread thread = new Thread(() -> serve(socket), "fake nginx client");
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException closed) {
--- a/src/main/java/cacheproxy/fakes/ScriptedServer.java
+++ b/src/main/java/cacheproxy/fakes/ScriptedServer.java
@@ -183,7 +183,7 @@
     public String awaitCommand() throws InterruptedException {
         String command = commands.poll(20, TimeUnit.SECONDS);
         if (command == null) {
-            throw new AssertionError("no command came");
+            throw new AssertionError("no command received within 20 s");
         }
         return command;
     }
--- a/src/main/java/cacheproxy/fakes/nginx/UpstreamBalancer.java
+++ b/src/main/java/cacheproxy/fakes/nginx/UpstreamBalancer.java
@@ -102,7 +102,7 @@
             }
             remaining -= peer.weight;
         }
-        throw new IllegalArgumentException("place " + position + " is not below the sum of weights");
+        throw new IllegalArgumentException("position " + position + " is not below the sum of weights");
     }
 
     /** Selects a server in the way in which Cache::Memcached::Fast distributes keys. */
--- a/src/test/java/cacheproxy/golden/GoldenFiles.java
+++ b/src/test/java/cacheproxy/golden/GoldenFiles.java
@@ -25,9 +25,9 @@
         Files.writeString(written, actual);
         Path expected = EXPECTED.resolve(name);
         assertThat(expected)
-                .as("%s; what was found is in %s", expected, written)
+                .as("%s; the actual text is in %s", expected, written)
                 .exists();
-        assertThat(actual).as("%s; what was found is in %s", expected, written).isEqualTo(Files.readString(expected));
+        assertThat(actual).as("%s; the actual text is in %s", expected, written).isEqualTo(Files.readString(expected));
     }
 
     /** Returns the sorted names of the files of a directory that end with {@code suffix}. */
--- a/src/test/java/cacheproxy/soak/SoakIT.java
+++ b/src/test/java/cacheproxy/soak/SoakIT.java
@@ -102,7 +102,7 @@
     @Test
     void judgeFindsRequestsCutInPlannedShutdown() {
         assertThat(SoakJudge.violations(readCutInPlannedShutdown(900, 1300), 2000))
-                .as("taken before SIGTERM")
+                .as("received before SIGTERM")
                 .singleElement()
                 .asString()
                 .startsWith("no answer: g by n0 in its planned end, cut");
@@ -112,24 +112,24 @@
                 .asString()
                 .contains("in its planned end");
         assertThat(SoakJudge.violations(readCutInPlannedShutdown(2500, 2600), 2000))
-                .as("owed at the kill")
+                .as("unanswered at the kill")
                 .singleElement()
                 .asString()
                 .contains("in its planned end");
         assertThat(SoakJudge.violations(readCutInPlannedShutdown(1100, 1105), 2000))
-                .as("closed before the command came")
+                .as("closed before the command arrived")
                 .isEmpty();
         assertThat(SoakJudge.violations(readCutInPlannedShutdown(2700, 2701), 2000))
-                .as("cut by the next process, which has no end to excuse it")
+                .as("cut by the next process, which was not shutting down")
                 .hasSize(1);
         assertThat(SoakJudge.violations(readCutInPlannedShutdown(1100, 0), 2000))
-                .as("silence up to the deadline in a planned end")
+                .as("no answer until the deadline in a planned shutdown")
                 .hasSize(1);
 
         SoakHistory ended = readCutInPlannedShutdown(2700, 2701);
         ended.processExits.add(new ProcessExit(0, 2_600_000_000L));
         assertThat(SoakJudge.violations(ended, 2000))
-                .as("sent on a connection of a process that had ended")
+                .as("sent on a connection of a process that had exited")
                 .isEmpty();
         ended.requests.get("g").connectedNanos = 2_650_000_000L;
         assertThat(SoakJudge.violations(ended, 2000))
--- a/src/test/java/cacheproxy/soak/SoakRound.java
+++ b/src/test/java/cacheproxy/soak/SoakRound.java
@@ -282,7 +282,7 @@
             }
             String answer = proxy.callControl("GET /invariants");
             if (!answer.contains("violations=0 ")) {
-                history.errors.add("n" + proxy.number + " tells of violations: " + answer);
+                history.errors.add("n" + proxy.number + " reports violations: " + answer);
             }
         }
         for (SoakProxy proxy : proxies) {
@@ -331,12 +331,12 @@
                         request.deadlineMs));
         history.arrivals.stream()
                 .filter(arrival -> arrival.id().equals(id))
-                .forEach(arrival -> lines.add("arrived %.1f at %s, told %.0f"
+                .forEach(arrival -> lines.add("arrived %.1f at %s, deadline %.0f"
                         .formatted(arrival.atNanos() / NANOS_PER_MS, arrival.server(), arrival.deadlineMs())));
         history.outages.stream()
                 .filter(outage -> outage.proxy() == request.proxy
                         && Math.abs(outage.fromNanos() - request.sentNanos) < EXPLANATION_WINDOW_NANOS)
-                .forEach(outage -> lines.add("stop asked for %.1f, in force %.1f, over %.1f"
+                .forEach(outage -> lines.add("pause requested %.1f, in force %.1f, over %.1f"
                         .formatted(
                                 outage.fromNanos() / NANOS_PER_MS,
                                 outage.inForceNanos() / NANOS_PER_MS,
