--- a/src/main/java/cacheproxy/faulttest/AddressSpace.java
+++ b/src/main/java/cacheproxy/faulttest/AddressSpace.java
@@ -6,20 +6,20 @@
 import java.net.ServerSocket;
 
 /**
- * The addresses of one run in 127.0.0.0/8. Each process has an address of its own, with the same ports as all others,
- * and keeps it when it is started again. Two runs on one machine use different second octets; a bound socket marks one
- * as in use.
+ * The addresses of one run in 127.0.0.0/8. Each process has its own address, uses the same ports as all others, and
+ * keeps its address when it is restarted. Two runs on one machine use different second octets; a bound socket marks an
+ * octet as in use.
  */
 final class AddressSpace implements AutoCloseable {
-    /** Where a proxy listens for clients. */
+    /** Port on which a proxy listens for clients. */
     static final int CLIENT_PORT = 11211;
-    /** Where a proxy listens for datagrams of its peers. */
+    /** Port on which a proxy listens for datagrams of its peers. */
     static final int PEER_PORT = 7946;
-    /** Where the relay listens for a proxy's connections to discovery. */
+    /** Port on which the relay listens for a proxy's connections to discovery. */
     static final int DISCOVERY_PORT = 8500;
-    /** Where a proxy listens for control calls. */
+    /** Port on which a proxy listens for control calls. */
     static final int CONTROL_PORT = 9000;
-    /** Where the relay listens for connections to the first cache server; the ports of the others follow. */
+    /** Port on which the relay listens for connections to the first cache server; the ports of the others follow. */
     static final int FIRST_SERVER_PORT = 20_000;
 
     private static final int LOCK_PORT = 7900;
@@ -39,7 +39,7 @@
         this.lock = lock;
     }
 
-    /** Reserves addresses that no other run uses, until they are closed. */
+    /** Reserves addresses that no other run uses until this address space is closed. */
     static AddressSpace reserve() throws IOException {
         int first = (int) (ProcessHandle.current().pid() % SECOND_OCTET_COUNT);
         for (int i = 0; i < SECOND_OCTET_COUNT; i++) {
@@ -61,35 +61,35 @@
                 + (1 + index % HOSTS_PER_OCTET);
     }
 
-    /** The address of a proxy's own sockets, without a port. */
+    /** The host address of the sockets on which a proxy listens. */
     String proxyHost(int proxy) {
         return host(PROXY_THIRD_OCTET, proxy);
     }
 
-    /** The address of a proxy's own socket. */
+    /** The address of a socket on which a proxy listens. */
     InetSocketAddress proxyAddress(int proxy, int port) {
         return new InetSocketAddress(proxyHost(proxy), port);
     }
 
     /**
-     * The address at which the relay stands between a proxy and the others: at the peer port for its peers, at other
-     * ports for what the proxy itself connects to.
+     * The address of the relay for one proxy. At the peer port it receives the datagrams that peers send to the proxy;
+     * at other ports it accepts the connections of the proxy itself.
      */
     InetSocketAddress relayAddress(int proxy, int port) {
         return new InetSocketAddress(host(RELAY_THIRD_OCTET, proxy), port);
     }
 
-    /** The address at which the relay stands between all proxies of a zone and what they connect to. */
+    /** The address at which the relay accepts connections of all proxies of a zone. */
     InetSocketAddress zoneRelayAddress(int zone, int port) {
         return new InetSocketAddress(host(ZONE_RELAY_THIRD_OCTET, zone), port);
     }
 
-    /** Where a datagram to all proxies is sent. */
+    /** The relay address for datagrams to all proxies. */
     InetSocketAddress broadcastAddress() {
         return new InetSocketAddress(host(BROADCAST_THIRD_OCTET, 0), PEER_PORT);
     }
 
-    /** An address as it stands in configuration files. */
+    /** An address in the form used in configuration files. */
     static String text(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
@@ -99,7 +99,7 @@
         try {
             lock.close();
         } catch (IOException e) {
-            // Nothing depends on it.
+            // Nothing depends on whether the close succeeds.
         }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/DaemonConfigFile.java
+++ b/src/main/java/cacheproxy/faulttest/DaemonConfigFile.java
@@ -3,7 +3,7 @@
 import cacheproxy.faulttest.scenario.Scenario;
 import cacheproxy.faulttest.scenario.TargetSelector;
 
-/** The configuration file of a proxy that runs {@code run}, the daemon. */
+/** The configuration file of a proxy that is started with {@code run}, as a daemon. */
 final class DaemonConfigFile {
     private static final String ALL_PEERS = "{peers}";
     private static final String PEERS_BUT_LAST = "{peers-but-last}";
--- a/src/main/java/cacheproxy/faulttest/DatagramRelay.java
+++ b/src/main/java/cacheproxy/faulttest/DatagramRelay.java
@@ -23,13 +23,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Relays all datagrams between proxies over faulty links. Peers know each proxy by one socket of the relay; what
- * arrives there is forwarded to the proxy from the socket of its sender, so that both know each other by their
- * configured addresses. The counters are read from any thread; all other state belongs to the event loop.
+ * Relays all datagrams between proxies over faulty links. The relay has one socket for each proxy, and peers use its
+ * address as the address of that proxy. A datagram that arrives there is forwarded to the proxy from the relay socket
+ * of its sender, so that each side sees the configured address of the other. The counters can be read from any thread;
+ * all other state belongs to the event loop.
  */
 final class DatagramRelay implements AutoCloseable {
     private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
-    /** Datagrams that faults delay and that wait in the relay; more are dropped. */
+    /** Limit on the datagrams that wait in the relay because a fault delays them; further ones are dropped. */
     static final int MAX_DELAYED = 100_000;
 
     private static final int BROADCAST = -1;
@@ -48,7 +49,7 @@
     private final AtomicLong fromUnknownSenders = new AtomicLong();
     private int delayed;
 
-    /** @param links used on the loop alone */
+    /** @param links used on the event loop only */
     DatagramRelay(EventLoop loop, AddressSpace space, int count, NetworkLinks links, long seed)
             throws IOException, InterruptedException {
         this.loop = loop;
@@ -95,12 +96,12 @@
         return lost.get();
     }
 
-    /** Datagrams that the relay dropped without a fault that loses them. */
+    /** Datagrams that the relay itself dropped, without a fault that loses them. */
     long dropped() {
         return dropped.get();
     }
 
-    /** Datagrams from an address of no proxy, which are not forwarded. */
+    /** Datagrams from addresses that belong to no proxy; they are not forwarded. */
     long fromUnknownSenders() {
         return fromUnknownSenders.get();
     }
@@ -112,7 +113,7 @@
             lost.incrementAndGet();
         }
         for (NetworkLinks.Delivery delivery : deliveries) {
-            // On the heap, as nobody releases what is still delayed when the run ends.
+            // A heap buffer, as buffers that are still delayed at the end of the run are never released.
             ByteBuf copy = Unpooled.copiedBuffer(content);
             if (delivery.corrupt() && copy.readableBytes() > 0) {
                 changeOneByte(copy);
@@ -166,7 +167,7 @@
         }
     }
 
-    /** The handler of a socket that stands for a proxy, or for all of them. */
+    /** Handles a relay socket that represents one proxy, or all of them for broadcasts. */
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
         private final int receiver;
 
@@ -192,7 +193,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A proxy is down; what is lost is counted where it is sent.
+            // A proxy is down. Failed sends are handled where the datagram is sent.
         }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/EventLoopLag.java
+++ b/src/main/java/cacheproxy/faulttest/EventLoopLag.java
@@ -16,7 +16,7 @@
 
     private EventLoopLag() {}
 
-    /** Measures from now on until the loop shuts down. */
+    /** Starts measuring; the measurement ends when the loop shuts down. */
     static EventLoopLag of(EventLoop loop) {
         EventLoopLag lag = new EventLoopLag();
         lag.dueNanos = System.nanoTime() + PERIOD_NANOS;
@@ -39,7 +39,7 @@
         scheduleNext(loop);
     }
 
-    /** How much later than it happened the loop may notice something now, microseconds. */
+    /** The delay with which the loop can currently notice an event, microseconds. */
     long currentLagUs() {
         return Math.max(lastLagNanos, Math.max(0, System.nanoTime() - dueNanos)) / 1000;
     }
--- a/src/main/java/cacheproxy/faulttest/FakeProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -19,15 +19,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The fake cache servers, origin and discovery of a run, on one event loop. Where connections to servers go through the
- * relay, the servers' addresses differ by who connects: then each proxy has a discovery of its own that lists its
- * addresses, or, with many proxies and servers, each zone has one. Methods may be called from any thread.
+ * The fake cache servers, origin and discovery of a run, on one event loop. If connections to servers go through the
+ * relay, each proxy connects to different addresses for the same servers, so each proxy has its own discovery that
+ * lists these addresses; with many proxies and servers each zone has one instead. Methods can be called from any
+ * thread.
  */
 final class FakeProcesses implements AutoCloseable {
-    /** Sockets of the relay that stand for servers; where more would be needed the proxies of a zone share them. */
+    /** Limit on relay sockets that represent servers; where more would be needed, the proxies of a zone share them. */
     static final int MAX_RELAY_SOCKETS = 2000;
 
-    /** Who shares a discovery. */
+    /** The proxies that share one discovery. */
     private enum DiscoveryScope {
         PROXY,
         ZONE,
@@ -62,7 +63,7 @@
     private final FakeOrigin origin;
     private final DiscoveryScope scope;
     private final List<FakeDiscovery> discoveries = new ArrayList<>();
-    /** By discovery and server: the address that it lists. */
+    /** By discovery and server: the address under which the discovery lists the server. */
     private final List<String[]> listedAddresses = new ArrayList<>();
 
     FakeProcesses(Scenario scenario, AddressSpace space, TcpRelay relay, History history) throws InterruptedException {
@@ -150,7 +151,7 @@
         }
     }
 
-    /** Stores all keys at each server, as after some hours of service. */
+    /** Stores all keys at each server, as after several hours of service. */
     void fillServerCaches(int keys) {
         for (int i = 0; i < keys; i++) {
             String key = OpenLoopWorkload.key(i);
@@ -160,7 +161,7 @@
         loop.submit(() -> {}).syncUninterruptibly();
     }
 
-    /** Has a server respond to nothing for a time. */
+    /** Makes a server send no responses for a time. */
     void stall(int server, double durationMs) {
         servers.get(server).stall(durationMs);
     }
@@ -171,7 +172,7 @@
         servers.get(server).kill();
     }
 
-    /** Starts a killed server again at the same address, empty; discovery lists its start time. */
+    /** Restarts a killed server at the same address with an empty cache; discovery lists its start time. */
     void restart(int server) throws IOException {
         try {
             servers.get(server).restart();
@@ -185,34 +186,35 @@
 
     /** Lists a server as draining. */
     void beginDrain(int server) {
-        // Proxies are notified within the call. This event may be later than that, but not earlier.
+        // Proxies are notified during the call. The event can be recorded after the notification, but not before it.
         listServer(server, "draining", 0);
         history.add(0, TargetSelector.serverName(server), Event.SERVER_DRAINING, "", "", 0);
     }
 
     /** Lists a server as up again. */
     void endDrain(int server) {
-        // Proxies are notified within the call. What they send then must not seem to go to a draining server.
+        // Proxies are notified during the call. The event comes first, so that commands that they send after the
+        // notification don't appear to go to a draining server.
         history.add(0, TargetSelector.serverName(server), Event.SERVER_UP, "", "", 0);
         listServer(server, "up", 0);
     }
 
-    /** The endpoint list as it is now, as the platform gives it to a proxy that starts. */
+    /** The current endpoint list, as the platform passes it to a proxy that starts. */
     JsonObject endpointList(int proxy) {
         return discoveryOf(proxy).fullList();
     }
 
-    /** Calls that discovery has had, watches among them. */
+    /** Number of calls that discovery received, including watches. */
     int discoveryCalls() {
         return discoveries.stream().mapToInt(FakeDiscovery::requestCount).sum();
     }
 
-    /** Watches that wait at discovery for a change. */
+    /** Number of watches that wait at discovery for a change. */
     int waitingWatches() {
         return discoveries.stream().mapToInt(FakeDiscovery::pendingWatches).sum();
     }
 
-    /** Health checks that servers have had: empty commands of proxies. */
+    /** Number of health checks that servers received, which are no-op commands of proxies. */
     int healthChecks() {
         return servers.stream().mapToInt(FakeCacheServer::probes).sum();
     }
--- a/src/main/java/cacheproxy/faulttest/FaultInjector.java
+++ b/src/main/java/cacheproxy/faulttest/FaultInjector.java
@@ -19,8 +19,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Begins and ends the faults of a scenario, each at its time. Where two of them end or drain the same target the later
- * one has no effect there; pauses and link faults add up. All state belongs to one thread.
+ * Begins and ends the faults of a scenario, each at its time. If two faults end or drain the same target, the later one
+ * has no effect on it; pauses and link faults accumulate. All state belongs to one thread.
  */
 final class FaultInjector implements AutoCloseable {
     private static final int RESTART_POLL_MS = 50;
@@ -39,7 +39,7 @@
         injector.setDaemon(true);
         return injector;
     });
-    /** Servers that a fault has killed or drains. */
+    /** Servers that a fault has killed or is draining. */
     private final Set<Integer> unavailableServers = new HashSet<>();
 
     private final List<String> failures = new ArrayList<>();
@@ -48,8 +48,8 @@
     /**
      * Makes an injector.
      *
-     * @param links used on the relay's loop alone
-     * @param leaseHolders the holder of a lease; null where none is known
+     * @param links used on the relay's event loop only
+     * @param leaseHolders returns the holder of a lease, or null if none is known
      */
     FaultInjector(
             Scenario scenario,
@@ -71,12 +71,12 @@
         this.leaseHolders = leaseHolders;
     }
 
-    /** A step of a fault; {@link #finish} reports the first that failed. */
+    /** A step of a fault; {@link #finish} reports the first step that failed. */
     private interface Step {
         void run() throws IOException;
     }
 
-    /** A step at a target, by its index. */
+    /** A step of a fault at one target, given by its index. */
     private interface TargetStep {
         void run(int index) throws IOException;
     }
@@ -95,7 +95,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    /** Schedules all faults from now on. */
+    /** Schedules all faults; their times count from now. */
     void start() {
         for (int i = 0; i < scenario.faults().size(); i++) {
             Fault fault = scenario.faults().get(i);
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The same fault from now on, at the holder of its lease. */
+    /** Returns the same fault with time 0 and with the current holder of its lease as the target. */
     private Fault retargetToHolder(Fault fault) {
         String holder = leaseHolders.apply(fault.holderOf());
         List<String> targets = holder == null ? fault.targets() : List.of(holder);
@@ -212,7 +212,7 @@
         });
     }
 
-    /** Pauses a slowed proxy for a part of each cycle, one cycle after another. */
+    /** Pauses a slowed proxy for a fraction of each cycle, one cycle after another. */
     private void pauseForCycle(Fault fault, int proxy, long untilNanos) throws IOException {
         proxies.get(proxy).pause();
         schedule(fault.cycleMs() * (1 - fault.speedShare()), () -> {
@@ -223,7 +223,7 @@
         });
     }
 
-    /** Waits until all proxies are up again; throws if they are not in time, or if a step of a fault failed. */
+    /** Waits until all proxies are ready again; throws if that takes too long, or if a step of a fault failed. */
     void finish(double maxMs) throws IOException, InterruptedException {
         long untilNanos = System.nanoTime() + (long) (maxMs * 1e6);
         try {
--- a/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
+++ b/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
@@ -17,9 +17,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 
-/** Runs scenarios: many processes of the program, faults between them, and a verdict on what they did. */
+/**
+ * Runs scenarios: starts many processes of the program, injects faults between them, and gives a verdict on their
+ * behavior.
+ */
 public final class FaultTestRunner {
-    /** Proxies without a fault for so long before an empty call should respond to it quickly. */
+    /** A proxy that had no fault for this long before a ping is expected to respond to the ping quickly. */
     private static final long MIN_FAULT_FREE_US = 1_000_000;
 
     private FaultTestRunner() {}
@@ -27,11 +30,11 @@
     /**
      * The result of a run.
      *
-     * @param run its history
-     * @param verdict of the checkers
+     * @param run the history of the run
+     * @param verdict the verdict of the checkers
      * @param validity whether the machine kept up
-     * @param serviceStats of the whole run
-     * @param measurements what the history does not show
+     * @param serviceStats statistics of the whole run
+     * @param measurements metrics that the history does not contain
      */
     public record Outcome(
             RunHistory run,
@@ -39,7 +42,7 @@
             RunValidity validity,
             ServiceStats serviceStats,
             RunMeasurements measurements) {
-        /** A report for a person. */
+        /** The human-readable report. */
         public List<String> lines() {
             return OutcomeReport.lines(this);
         }
@@ -48,7 +51,8 @@
     /**
      * Runs a scenario.
      *
-     * @param folder for the history, the scenario as it was played, and each process's files; created if needed
+     * @param folder directory for the history, the scenario as it was played, and each process's files; created if
+     *     needed
      * @param log receives a line for each stage
      * @throws IOException if a process does not start or a fault can't be injected
      */
@@ -76,13 +80,13 @@
         return new Outcome(run, verdict, validity, serviceStats, measurements);
     }
 
-    /** Checks a history that was written before. Whether the machine kept up is judged by the empty calls alone. */
+    /** Checks the history of an earlier run. Only the pings in it show whether the machine kept up. */
     public static Verdict check(Path history, List<Checker> checkers) throws IOException, ConfigException {
         RunHistory run = History.read(history);
         return Verdict.of(run, new RunValidity(0, 0, 0, pingP99Ms(run), 0, 0, 0).problems(), checkers);
     }
 
-    /** The 99th percentile of the latency of empty calls to undisturbed proxies; 0 if there are none. */
+    /** The 99th percentile of the latency of pings to proxies without a fault; 0 if there are none. */
     private static double pingP99Ms(RunHistory run) {
         double[] latenciesMs = run.events().stream()
                 .filter(event -> event.is(Event.PROXY_PINGED) && isFaultFree(run, event))
@@ -98,10 +102,11 @@
     }
 
     /**
-     * Shrinks a scenario's faults to fewer and shorter ones that still violate an invariant; null if they violate none.
+     * Reduces a scenario's faults to fewer and shorter ones that still violate an invariant; returns null if the
+     * original faults violate none.
      *
      * @param attempts runs of each list of faults
-     * @param maxRuns runs in all
+     * @param maxRuns limit on the total number of runs
      * @param log receives a line for each run
      */
     public static List<Fault> shrink(
--- a/src/main/java/cacheproxy/faulttest/FencedWriter.java
+++ b/src/main/java/cacheproxy/faulttest/FencedWriter.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Leader actions under leases, recorded where they are received. Beside each proxy there is a job that acts while the
- * proxy holds a lease, sometimes after a pause longer than any lease; a store accepts its writes unless they come under
- * an older epoch than one that it has seen. Used on one event loop.
+ * Simulates leader actions under leases and records them where they are received. Each proxy has a job that acts while
+ * the proxy holds a lease, sometimes after a pause longer than any lease. A store accepts the job's writes unless their
+ * epoch is older than one that the store has already seen. Used on one event loop.
  */
 final class FencedWriter {
     private static final double PAUSE_PROBABILITY = 0.05;
@@ -22,7 +22,7 @@
     private final History history;
     private final SplittableRandom random;
     private final FencingTokenCheck store = new FencingTokenCheck();
-    /** By proxy and lease: whether the job is acting. */
+    /** By proxy and lease: whether an action of the job is in progress. */
     private final boolean[][] acting;
 
     FencedWriter(EventLoop loop, History history, int proxies, int leases, long seed) {
@@ -32,7 +32,10 @@
         acting = new boolean[proxies][leases];
     }
 
-    /** Lets the job beside a proxy act, as the proxy reported that it holds a lease; ignored while the job acts. */
+    /**
+     * Starts an action of a proxy's job after the proxy reported that it holds a lease; ignored while an action is in
+     * progress.
+     */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     void act(int proxy, int leaseIndex, String lease, long epoch) {
         if (acting[proxy][leaseIndex]) {
--- a/src/main/java/cacheproxy/faulttest/History.java
+++ b/src/main/java/cacheproxy/faulttest/History.java
@@ -20,12 +20,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The history file of a run: a line of JSON for each event, all on one clock. Events come from any thread and are
- * written by a thread of its own; those that don't fit into the queue are counted and dropped.
+ * The history file of a run: a line of JSON for each event, with all times from one clock. Events can be added from any
+ * thread and are written by a separate thread; those that don't fit into the queue are counted and dropped.
  */
 final class History implements AutoCloseable {
     private static final int QUEUE_LIMIT = 200_000;
-    /** Ends the writer. */
+    /** Queue element that ends the writer thread. */
     private static final Event END_MARKER = new Event(0, 0, "", "", "", "", 0);
 
     private final long startNanos = System.nanoTime();
@@ -34,7 +34,7 @@
     private final Thread writer;
     private volatile IOException failure;
 
-    /** Opens a file; its first event is the scenario. */
+    /** Creates a file whose first event is the scenario. */
     History(Path file, Scenario scenario) throws IOException {
         BufferedWriter out = Files.newBufferedWriter(file);
         writer = new Thread(() -> writeAll(out), "history");
@@ -47,7 +47,7 @@
         return (System.nanoTime() - startNanos) / 1000;
     }
 
-    /** Adds an event that was noticed now; see {@link Event} for what its parts are. */
+    /** Adds an event that was noticed now; see {@link Event} for its components. */
     void add(long uncertaintyUs, String endpoint, String type, String id, String detail, double value) {
         if (!queue.offer(new Event(nowUs(), uncertaintyUs, endpoint, type, id, detail, value))) {
             dropped.incrementAndGet();
@@ -59,7 +59,7 @@
         return dropped.get();
     }
 
-    @SuppressWarnings("ReferenceEquality") // identity is meant
+    @SuppressWarnings("ReferenceEquality") // the end marker is one particular object
     private void writeAll(BufferedWriter out) {
         try (out) {
             for (Event event; (event = queue.take()) != END_MARKER; ) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** After a failure the queue is still emptied, so that nobody waits for it. */
+    /** Writes an event. After a failure the queue is still emptied, so that no thread waits for space in it. */
     private void write(BufferedWriter out, Event event) {
         try {
             out.write(toJson(event));
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Waits until all is written; throws if it could not be. */
+    /** Waits until all events are written; throws if writing failed. */
     void finish() throws IOException, InterruptedException {
         if (writer.isAlive()) {
             queue.put(END_MARKER);
@@ -100,7 +100,7 @@
         try {
             finish();
         } catch (IOException e) {
-            // An earlier call has thrown it, or nobody needs the file any more.
+            // An earlier call of finish has thrown this exception, or the file is no longer needed.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -155,7 +155,7 @@
         return new Event(timeUs, uncertaintyUs, endpoint, type, id, detail, value);
     }
 
-    /** Reads a file; a ConfigException says which line is malformed, or that there is no scenario. */
+    /** Reads a history file; a ConfigException names the malformed line, or says that there is no scenario. */
     static RunHistory read(Path file) throws IOException, ConfigException {
         List<Event> events = new ArrayList<>();
         Scenario scenario = null;
--- a/src/main/java/cacheproxy/faulttest/HostLoad.java
+++ b/src/main/java/cacheproxy/faulttest/HostLoad.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Samples how often nearly all processors of the machine are busy, with whatever program. Thread-safe. */
+/** Samples how often nearly all processors of the machine are busy, regardless of the program. Thread-safe. */
 final class HostLoad implements AutoCloseable {
     private static final long PERIOD_MS = 500;
 
@@ -21,10 +21,10 @@
     private int samples;
     private int busySamples;
 
-    /** Samples from now on. */
+    /** Starts sampling. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     void start() {
-        operatingSystem.getCpuLoad(); // the first value has nothing to compare with
+        operatingSystem.getCpuLoad(); // discards the first value, which has no earlier sample to be measured against
         sampler.scheduleAtFixedRate(this::sample, PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/cacheproxy/faulttest/LeasePoller.java
+++ b/src/main/java/cacheproxy/faulttest/LeasePoller.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Polls each proxy at its control address whether it holds a lease, as jobs that act under the lease do; one call at a
- * time for each proxy and lease. Used on one event loop but for {@link #holder}.
+ * Polls the control address of each proxy to find out whether the proxy holds a lease, as jobs that act under the lease
+ * do. There is at most one call at a time for each proxy and lease. Used on one event loop, except for {@link #holder}.
  */
 final class LeasePoller {
     private static final long CALL_TIMEOUT_MS = 60_000;
@@ -36,7 +36,7 @@
     private final List<String> leases;
     private final FencedWriter writer;
     private final Map<String, String> holders = new ConcurrentHashMap<>();
-    /** By proxy and lease: whether a call is open. */
+    /** By proxy and lease: whether a call is in flight. */
     private final boolean[][] callInFlight;
 
     private Future<?> pollTask;
@@ -50,7 +50,7 @@
         callInFlight = new boolean[scenario.proxies()][leases.size()];
     }
 
-    /** Polls for the leases of a scenario from now on. */
+    /** Starts to poll for the leases of a scenario. */
     static LeasePoller start(EventLoop loop, AddressSpace space, History history, Scenario scenario) {
         LeasePoller poller = new LeasePoller(loop, space, history, scenario);
         long periodMs = (long) scenario.pollMs();
@@ -58,12 +58,12 @@
         return poller;
     }
 
-    /** The proxy that last reported that it holds a lease; null if none has. From any thread. */
+    /** The proxy that last reported that it holds a lease; null if none has. Can be called from any thread. */
     String holder(String lease) {
         return holders.get(lease);
     }
 
-    /** Begins no more calls. */
+    /** Stops polling; calls in flight are not cancelled. */
     void stop() {
         pollTask.cancel(false);
     }
@@ -103,7 +103,7 @@
         });
     }
 
-    /** One call on a connection of its own. */
+    /** One call, on its own connection. */
     private final class Call extends ChannelInboundHandlerAdapter {
         private final int proxy;
         private final int leaseIndex;
--- a/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
+++ b/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
@@ -11,12 +11,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The clients of all proxies: requests at random times that don't depend on responses, each on a connection without a
- * request in flight. What is sent, answered, cut off and given up goes into the history. A request whose connection was
- * closed is sent once more, to another proxy, unless it must not be applied twice. Besides, each proxy gets empty
- * calls, which show the lag of its event loop.
+ * The clients of all proxies. They send requests at random times that don't depend on responses, each on a connection
+ * without a request in flight, and record requests, responses, closed connections and timeouts in the history. A
+ * request whose connection was closed is retried once at another proxy, unless it must not be applied twice. Each proxy
+ * also gets pings, whose latency shows the lag of its event loop.
  *
- * <p>All state belongs to the event loop; the figures may be read once the future of {@link #start} is done.
+ * <p>All state belongs to the event loop; the metrics can be read once the future of {@link #start} is done.
  */
 final class OpenLoopWorkload {
     private static final long TICK_NANOS = 1_000_000;
@@ -30,7 +30,7 @@
     private final EventLoopLag lag;
     private final SplittableRandom random;
     private final ProxyClient[] clients;
-    /** By proxy: the sum of the shares of all proxies up to it. */
+    /** By proxy: the sum of the load shares of all proxies up to and including it. */
     private final double[] cumulativeShares;
 
     private final Histogram scheduleLagUs = new Histogram(MAX_RECORDED_US, 2);
@@ -45,7 +45,7 @@
     private int failedConnects;
     private int rejectedByConnectionLimit;
 
-    /** @param proxies where clients connect to, by proxy */
+    /** @param proxies the addresses to which clients connect, by proxy */
     OpenLoopWorkload(EventLoop loop, Scenario scenario, InetSocketAddress[] proxies, History history) {
         this.loop = loop;
         this.history = history;
@@ -62,12 +62,12 @@
         }
     }
 
-    /** A key that is read, counted from 0. */
+    /** The key with an index, counted from 0, that clients read. */
     static String key(int index) {
         return "k/" + index;
     }
 
-    /** Starts; the future is done once the load's time is over and no request is pending. */
+    /** Starts the load; the future is done once the load's time is over and no request is pending. */
     CompletableFuture<Void> start() {
         loop.execute(() -> {
             nextSendNanos = System.nanoTime();
@@ -121,7 +121,7 @@
         return WorkloadRequest.read(id, key(key));
     }
 
-    /** Sends a request whose connection was closed once more, to any other proxy, if that is allowed. */
+    /** Retries a request whose connection was closed at a random other proxy, if a retry is allowed. */
     void retry(WorkloadRequest request, int failedProxy) {
         if (clients.length > 1 && request.markRetried()) {
             int other = random.nextInt(clients.length - 1);
@@ -129,12 +129,12 @@
         }
     }
 
-    /** Counts a request or connect that has begun. */
+    /** Counts a request or connection attempt that has begun. */
     void countPending() {
         pendingCount++;
     }
 
-    /** Counts a request or connect that has ended. */
+    /** Counts a request or connection attempt that has ended. */
     void countConcluded() {
         pendingCount--;
     }
@@ -154,12 +154,12 @@
         return loop;
     }
 
-    /** What clients send. */
+    /** The parameters of the load. */
     Scenario.Load load() {
         return load;
     }
 
-    /** Where clients record what happens. */
+    /** The history in which clients record events. */
     History history() {
         return history;
     }
--- a/src/main/java/cacheproxy/faulttest/OutcomeReport.java
+++ b/src/main/java/cacheproxy/faulttest/OutcomeReport.java
@@ -10,12 +10,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The report of a run for a person. */
+/** The human-readable report of a run. */
 final class OutcomeReport {
     private static final double MIN_GAP_MS = 100;
     /** The shortest gap that is reported, as a multiple of the time between polls. */
     private static final double MIN_GAP_POLLS = 2.5;
-    /** Proxies warm up at the load's start, so this part of it says nothing of a quota's use. */
+    /** Time at the start of the load in which proxies are warming up, so that it is left out of quota statistics. */
     private static final double SKIPPED_MS = 3000;
 
     private OutcomeReport() {}
--- a/src/main/java/cacheproxy/faulttest/ParentWatchdog.java
+++ b/src/main/java/cacheproxy/faulttest/ParentWatchdog.java
@@ -4,8 +4,8 @@
 import java.io.IOException;
 
 /**
- * The program as a child of a fault test: besides the program, a thread reads standard input, which ends when the
- * parent ends. So no child outlives a parent that was killed.
+ * Runs the program as a child process of a fault test. A thread reads standard input, which ends when the parent exits,
+ * and then halts the program, so that no child outlives a parent that was killed.
  */
 public final class ParentWatchdog {
     private static final int PARENT_ENDED_EXIT_CODE = 97;
@@ -23,10 +23,10 @@
     private static void awaitParentEnd() {
         try {
             while (System.in.read() >= 0) {
-                // Nobody writes.
+                // The parent writes nothing.
             }
         } catch (IOException e) {
-            // The parent has ended as well.
+            // A read error also means that the parent has exited.
         }
         Runtime.getRuntime().halt(PARENT_ENDED_EXIT_CODE);
     }
--- a/src/main/java/cacheproxy/faulttest/PlatformConfigFile.java
+++ b/src/main/java/cacheproxy/faulttest/PlatformConfigFile.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** The configuration file of a proxy that runs {@code serve}, as the platform writes it. */
+/** The configuration file of a proxy that is started with {@code serve}, as the platform writes it. */
 final class PlatformConfigFile {
     private final Scenario scenario;
     private final AddressSpace space;
     private final TargetSelector endpoints;
     private final IntFunction<JsonObject> initialEndpointList;
 
-    /** @param initialEndpointList the endpoint list that a proxy is given when it starts, by its index */
+    /** @param initialEndpointList the endpoint list that is passed to a proxy when it starts, by the proxy's index */
     PlatformConfigFile(Scenario scenario, AddressSpace space, IntFunction<JsonObject> initialEndpointList) {
         this.scenario = scenario;
         this.space = space;
@@ -116,7 +116,7 @@
         return array;
     }
 
-    /** An object of keys and their values in turn; values are numbers or strings. */
+    /** Builds an object from alternating keys and values; values are numbers or strings. */
     private static JsonObject jsonObject(Object... keysAndValues) {
         JsonObject object = new JsonObject();
         for (int i = 0; i < keysAndValues.length; i += 2) {
--- a/src/main/java/cacheproxy/faulttest/ProxyClient.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyClient.java
@@ -23,9 +23,9 @@
     private final InetSocketAddress address;
     private final ArrayDeque<ProxyConnection> idle = new ArrayDeque<>();
     private final List<Channel> channels = new ArrayList<>();
-    /** Connections for requests, those that are being established among them. */
+    /** Number of connections for requests, including those being established. */
     private int connections;
-    /** The connection for empty calls; null: none. */
+    /** The connection for pings (no-op commands); null if there is none. */
     private ProxyConnection pingConnection;
 
     ProxyClient(OpenLoopWorkload workload, int proxy, InetSocketAddress address) {
@@ -87,7 +87,7 @@
         });
     }
 
-    /** Sends an empty call, unless the last one has no response yet. */
+    /** Sends a ping, unless the previous one has no response yet. */
     void ping() {
         if (pingConnection == null) {
             ProxyConnection connection = new ProxyConnection(workload, this);
@@ -98,12 +98,12 @@
         }
     }
 
-    /** Takes back a connection whose request has its response. */
+    /** Makes a connection idle again after its request got the response. */
     void connectionReleased(ProxyConnection connection) {
         idle.push(connection);
     }
 
-    /** Forgets a connection that was closed, with the request that was in flight on it; null: none. */
+    /** Removes a connection that was closed; {@code interrupted} is the request that was in flight on it, or null. */
     void connectionClosed(ProxyConnection connection, WorkloadRequest interrupted) {
         connections--;
         idle.remove(connection);
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Forgets the connection for empty calls if it is this one; returns whether it is. */
+    /** Clears the ping connection if it is this one; returns whether it was. */
     boolean pingConnectionClosed(ProxyConnection connection) {
         if (pingConnection != connection) {
             return false;
--- a/src/main/java/cacheproxy/faulttest/ProxyCommandLine.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyCommandLine.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The command line of a proxy's process: the packaged program with the flags of the platform's {@code run}, its class
- * data archive among them.
+ * The command line of a proxy's process: the packaged program with the JVM flags that the platform uses for
+ * {@code run}, including the class data archive.
  */
 final class ProxyCommandLine {
     private static final List<String> JVM_FLAGS = List.of(
@@ -53,7 +53,8 @@
         if (!Files.exists(jar)) {
             throw new IllegalStateException("there is no " + jar + "; build it with mvn -q -DskipTests package");
         }
-        // The build's own run uses a relative path, and the class data archive is valid for that path alone.
+        // The build uses a relative path when it creates the class data archive, and the archive is valid for that path
+        // only.
         Path workingDirectory = Path.of("").toAbsolutePath();
         return jar.isAbsolute() && jar.startsWith(workingDirectory) ? workingDirectory.relativize(jar) : jar;
     }
--- a/src/main/java/cacheproxy/faulttest/ProxyConfigFiles.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyConfigFiles.java
@@ -15,14 +15,14 @@
     private final PlatformConfigFile platform;
     private final DaemonConfigFile daemon;
 
-    /** @param initialEndpointList the endpoint list that a proxy is given when it starts, by its index */
+    /** @param initialEndpointList the endpoint list that is passed to a proxy when it starts, by the proxy's index */
     ProxyConfigFiles(Scenario scenario, AddressSpace space, IntFunction<JsonObject> initialEndpointList) {
         serve = scenario.program().equals("serve");
         platform = new PlatformConfigFile(scenario, space, initialEndpointList);
         daemon = new DaemonConfigFile(scenario, space);
     }
 
-    /** The text of a proxy's file; the seed is for {@code serve} alone. */
+    /** The text of a proxy's file; the seed is used for {@code serve} only. */
     String of(int proxy, long seed) {
         return serve ? platform.of(proxy, seed) : daemon.of(proxy);
     }
--- a/src/main/java/cacheproxy/faulttest/ProxyConnection.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyConnection.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection of a client to a proxy, with at most one request or empty call in flight. It judges responses by
- * themselves: whether they belong to the request and have the content that the origin made for its key.
+ * One connection of a client to a proxy, with at most one request or ping in flight. It checks whether each response
+ * belongs to the request and has the content that the origin created for its key.
  */
 final class ProxyConnection extends ByteToMessageDecoder {
     /** How much longer than a request's deadline its client waits. */
@@ -26,9 +26,9 @@
     private ChannelHandlerContext ctx;
     private WorkloadRequest request;
     private Future<?> timeout;
-    /** Length of the value that follows; {@link #NO_VALUE}: a line follows. */
+    /** Length of the value to be read next; {@link #NO_VALUE} if a line is next. */
     private int valueLength = NO_VALUE;
-    /** When the empty call in flight was sent; 0: none is. */
+    /** When the ping in flight was sent; 0 if there is none. */
     private long pingNanos;
 
     ProxyConnection(OpenLoopWorkload workload, ProxyClient client) {
@@ -38,10 +38,10 @@
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
-        ctx = context; // the connect's listener runs before channelActive
+        ctx = context; // set here, as the connect's listener runs before channelActive
     }
 
-    /** Whether requests can be sent on it. */
+    /** Returns whether requests can be sent on this connection. */
     boolean isActive() {
         return ctx.channel().isActive();
     }
@@ -65,7 +65,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Sends an empty call, unless one is in flight or the connection is not established yet. */
+    /** Sends a ping, unless one is in flight or the connection is not established yet. */
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
     void ping() {
         if (ctx != null && pingNanos == 0) {
--- a/src/main/java/cacheproxy/faulttest/ProxyProcess.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcess.java
@@ -21,8 +21,8 @@
 import java.util.stream.Stream;
 
 /**
- * One proxy and its process, which may be started again. It has a folder of its own for its configuration, log and
- * temporary files. Faults come from the fault injector's thread alone, starts from starter threads.
+ * One proxy and its process, which can be restarted. The proxy has its own directory for its configuration, log and
+ * temporary files. Faults are injected from the fault injector's thread only; processes are started on start threads.
  */
 final class ProxyProcess {
     private static final double MAX_START_SECONDS = 120;
@@ -33,7 +33,7 @@
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int READ_TIMEOUT_MS = 2000;
     private static final int READY_POLL_MS = 30;
-    /** How late lines and the exit of a process may be noticed. */
+    /** Limit on the delay with which log lines and the exit of a process are noticed. */
     private static final long NOTICE_DELAY_US = 1000;
 
     private final String name;
@@ -43,14 +43,14 @@
     private final ProcessSignals signals;
     private final BooleanSupplier runEnding;
     private volatile Process process;
-    /** Writes the process's lines and its exit into the history. */
+    /** Records the process's output lines and its exit in the history. */
     private volatile Thread logReader;
-    /** Faults that pause the process now. */
+    /** Number of active faults that pause the process. */
     private int pauseCount;
-    /** Whether a fault has ended the process, which will be started again. */
+    /** Whether a fault has ended the process, which will be restarted. */
     private boolean down;
 
-    /** @param runEnding whether the run ends, so that an exit is no event */
+    /** @param runEnding whether the run is ending, so that an exit is not recorded */
     ProxyProcess(
             int index,
             InetSocketAddress address,
@@ -70,7 +70,7 @@
         return folder.resolve("tmp");
     }
 
-    /** Makes its folder. */
+    /** Creates the proxy's directory. */
     void prepareFolder() throws IOException {
         Files.createDirectories(temporaryFolder());
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Resident memory of its process, KiB; 0 if there is none. */
+    /** Resident memory of the process, KiB; 0 if none is running. */
     long residentKb() {
         Process current = process;
         if (current == null || !current.isAlive()) {
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Begins a fault that pauses the process. Pauses add up. */
+    /** Begins a fault that pauses the process. The process is paused until all such faults have ended. */
     void pause() throws IOException {
         if (down) {
             return;
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Ends the process; returns false if a fault had ended it before. */
+    /** Kills or terminates the process; returns false if an earlier fault has already ended it. */
     boolean end(boolean kill) throws IOException {
         if (down) {
             return false;
@@ -203,26 +203,26 @@
         if (kill) {
             process.destroyForcibly();
         } else {
-            // Process.destroy would close its standard input as well, which ParentWatchdog takes for the parent's end.
+            // Process.destroy would also close standard input, which ParentWatchdog takes for the exit of the parent.
             signals.send(Signal.TERM, process.pid());
         }
         if (pauseCount > 0) {
             pauseCount = 0;
-            signals.send(Signal.CONT, process.pid()); // a paused process receives SIGTERM once it is resumed
+            signals.send(Signal.CONT, process.pid()); // a paused process receives SIGTERM only once it is resumed
         }
         return true;
     }
 
-    /** Waits until the process that {@link #end} has ended is gone, and its exit is in the history. */
+    /** Waits until the process that {@link #end} signalled has exited and its exit is in the history. */
     void awaitExit() throws IOException, InterruptedException {
         if (!process.waitFor(MAX_EXIT_SECONDS, TimeUnit.SECONDS)) {
             throw new IOException(name + " had not ended 20 s after it was told to");
         }
-        // Otherwise its exit could be recorded after the next start, as if the new process had ended.
+        // Otherwise its exit could be recorded after the next start, as if the new process had exited.
         logReader.join(MAX_LOG_READ_MS);
     }
 
-    /** Removes all files that it keeps over restarts. */
+    /** Deletes all files that the proxy keeps across restarts. */
     void emptyDisk() throws IOException {
         Path temporary = temporaryFolder();
         try (Stream<Path> files = Files.walk(temporary)) {
@@ -234,7 +234,7 @@
         }
     }
 
-    /** Lets faults hit it again after a restart. */
+    /** Allows faults to hit the proxy again after a restart. */
     void markUp() {
         down = false;
         pauseCount = 0;
@@ -248,7 +248,7 @@
         }
     }
 
-    /** Waits until the process is gone, however long that takes. */
+    /** Waits without a time limit until the process has exited. */
     void awaitExitWithoutTimeout() throws InterruptedException {
         if (process != null) {
             process.waitFor();
--- a/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
@@ -16,8 +16,8 @@
 import java.util.function.IntFunction;
 
 /**
- * The proxies of a run. They are started as in service, several at a time, and end with this process however it ends
- * ({@link ParentWatchdog}). Faults come from the fault injector's thread alone.
+ * The proxies of a run. They are started as in production, several at a time, and exit when this process exits for any
+ * reason ({@link ParentWatchdog}). Faults are injected from the fault injector's thread only.
  */
 final class ProxyProcesses implements AutoCloseable {
     private final Scenario scenario;
@@ -29,7 +29,7 @@
     private final List<ProxyProcess> proxies = new ArrayList<>();
     private volatile boolean closing;
 
-    /** @param initialEndpointList the endpoint list that a proxy is given when it starts, by its index */
+    /** @param initialEndpointList the endpoint list that is passed to a proxy when it starts, by the proxy's index */
     ProxyProcesses(
             Scenario scenario,
             AddressSpace space,
@@ -80,7 +80,7 @@
         proxies.get(proxy).start(scenario.program(), configFiles.of(proxy, seed));
     }
 
-    /** Where clients connect to, by proxy. */
+    /** The addresses to which clients connect, by proxy. */
     InetSocketAddress[] clientAddresses() {
         InetSocketAddress[] addresses = new InetSocketAddress[proxies.size()];
         for (int i = 0; i < addresses.length; i++) {
@@ -89,15 +89,15 @@
         return addresses;
     }
 
-    /** A proxy, counted from 0. */
+    /** Returns a proxy by its index, counted from 0. */
     ProxyProcess get(int proxy) {
         return proxies.get(proxy);
     }
 
     /**
-     * Starts a proxy again that {@link ProxyProcess#end} has ended, after its process is gone.
+     * Restarts a proxy that {@link ProxyProcess#end} has ended, after its process has exited.
      *
-     * @param listener notified when the proxy is ready, with null, or when it failed, with the reason
+     * @param listener called with null when the proxy is ready, or with the reason when the restart failed
      */
     @SuppressWarnings("FutureReturnValueIgnored") // the task reports its own failure
     void restart(int proxy, boolean emptyDisk, Consumer<Exception> listener) {
@@ -128,7 +128,7 @@
         killAll();
     }
 
-    /** Kills all processes and waits until they are gone; a second call does nothing. */
+    /** Kills all processes and waits until they have exited; a second call does nothing. */
     synchronized void killAll() {
         if (closing) {
             return;
--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -17,8 +17,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Reads a scenario's file, finds all errors in it, and makes the random draws that it asks for, so that each fault
- * names its targets.
+ * Reads a scenario file, reports all errors in it, and makes its random draws, so that each fault names its targets.
  */
 public final class ScenarioReader {
     private static final double HOUR_MS = 3_600_000;
@@ -31,7 +30,7 @@
     /**
      * Reads a scenario file.
      *
-     * @param seed replaces the file's seed; null: the file's
+     * @param seed replaces the file's seed; null keeps it
      * @throws ConfigException with all errors and their places
      */
     public static Scenario read(Path path, Long seed) throws ConfigException {
@@ -45,8 +44,8 @@
     /**
      * Reads a scenario from the text of its file.
      *
-     * @param name the scenario's name, which stands in errors as well
-     * @param seed replaces the text's seed; null: the text's
+     * @param name the scenario's name, which error messages contain as well
+     * @param seed replaces the text's seed; null keeps it
      * @throws ConfigException with all errors and their places
      */
     public static Scenario parse(String name, String text, Long seed) throws ConfigException {
@@ -205,7 +204,7 @@
                 holderOf);
     }
 
-    /** The other ends of links; where the file does not say: all proxies that are no targets. */
+    /** The other ends of the links; by default all proxies that are not targets. */
     private static List<String> readLinkPeers(
             TomlTableReader table, List<String> targets, TargetSelector endpoints, SplittableRandom random) {
         if (table.has("to")) {
--- a/src/main/java/cacheproxy/faulttest/ScenarioRun.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioRun.java
@@ -13,7 +13,7 @@
 
 /** One run of a scenario: starts relays, fakes and proxies, applies load and faults, and ends everything. */
 final class ScenarioRun implements AutoCloseable {
-    /** How long proxies that are being restarted at the load's end may take. */
+    /** Limit on the time that proxies still restarting at the end of the load take to become ready. */
     private static final double MAX_LAST_RESTART_MS = 60_000;
 
     private final Scenario scenario;
@@ -25,7 +25,7 @@
     private final EventLoop loadLoop = loadGroup.next();
     private final NetworkLinks links;
 
-    /** @param folder where each process's files are */
+    /** @param folder directory for the files of each process */
     ScenarioRun(Scenario scenario, Path folder, Consumer<String> log) {
         this.scenario = scenario;
         this.folder = folder;
@@ -37,7 +37,7 @@
         return new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     }
 
-    /** What a run consists of; {@link #play} closes it. */
+    /** The parts of a run; {@link #play} closes them. */
     private record Resources(
             AddressSpace space,
             History history,
@@ -69,7 +69,7 @@
         }
     }
 
-    /** What is read when the load ends, while all processes still run. */
+    /** Metrics read at the end of the load, while all processes are still running. */
     private record LoadEndMetrics(Counters counters, int waitingWatches, double meanResidentMb, double maxResidentMb) {}
 
     /** Runs the scenario and writes its history. */
--- a/src/main/java/cacheproxy/faulttest/TcpRelay.java
+++ b/src/main/java/cacheproxy/faulttest/TcpRelay.java
@@ -21,10 +21,10 @@
 import java.util.function.Supplier;
 
 /**
- * Relays connections from proxies to discovery and cache servers over faulty links. A blocked link leaves them open and
- * silent and delivers afterwards what came meanwhile, as TCP does; a resetting link ends them and refuses new ones by a
- * reset. Buffered bytes are bounded, as each side is read only while the other side is writable. All state belongs to
- * the event loop.
+ * Relays connections from proxies to discovery and cache servers over faulty links. A blocked link keeps connections
+ * open without transferring bytes, and delivers the bytes that were sent meanwhile afterwards, as TCP does; a resetting
+ * link resets open connections as well as new ones. Buffered bytes are bounded, as each side is read only while the
+ * other side is writable. All state belongs to the event loop.
  */
 final class TcpRelay implements AutoCloseable {
     private static final int BACKLOG = 256;
@@ -34,7 +34,7 @@
     private final List<Channel> listeners = new ArrayList<>();
     private final Set<RelayedConnection> connections = new HashSet<>();
 
-    /** @param links used on the loop alone */
+    /** @param links used on the event loop only */
     TcpRelay(EventLoop loop, NetworkLinks links) {
         this.loop = loop;
         this.links = links;
@@ -45,7 +45,7 @@
      *
      * @param from index of the endpoint that connects
      * @param to index of the endpoint that it connects to
-     * @param target the endpoint's address, read at each connection as it may change
+     * @param target the endpoint's address, read for each connection, as it can change
      */
     void listen(InetSocketAddress address, int from, int to, Supplier<InetSocketAddress> target)
             throws InterruptedException {
@@ -67,7 +67,7 @@
                 .channel());
     }
 
-    /** Applies changed faults to open connections; on the loop. */
+    /** Applies changed link faults to open connections. Must be called on the event loop. */
     void linksChanged() {
         List.copyOf(connections).forEach(RelayedConnection::linksChanged);
     }
@@ -79,7 +79,7 @@
                 .syncUninterruptibly();
     }
 
-    /** A connection that was accepted, and the one to its target. */
+    /** An accepted connection and the connection to its target. */
     private final class RelayedConnection {
         final int from;
         final int to;
@@ -141,12 +141,12 @@
         }
     }
 
-    /** One side of a relayed connection; what it reads goes to the other side in order. */
+    /** One side of a relayed connection; the bytes that it reads are written to the other side in order. */
     private final class Side extends ChannelInboundHandlerAdapter {
         private final RelayedConnection connection;
         private final int from;
         private final int to;
-        /** What was read while the link was blocked. */
+        /** Buffers that were read while the link was blocked. */
         private final ArrayDeque<ByteBuf> blockedBuffers = new ArrayDeque<>();
 
         private Channel channel;
@@ -169,7 +169,7 @@
             channel = ctx.channel();
         }
 
-        /** Forwards what was blocked, and reads on, if the link allows it. */
+        /** Forwards the blocked buffers and reads more, if the link allows it. */
         void resumeForwarding() {
             if (!connection.isConnected() || links.blocksConnections(from, to)) {
                 return;
--- a/src/main/java/cacheproxy/faulttest/WorkloadRequest.java
+++ b/src/main/java/cacheproxy/faulttest/WorkloadRequest.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.faulttest.check.Event;
 
-/** A request of the workload, which may be sent a second time. */
+/** A request of the workload, which can be retried once. */
 final class WorkloadRequest {
     private final String id;
     private final String kind;
@@ -20,32 +20,32 @@
         return new WorkloadRequest(id, Event.READ, key);
     }
 
-    /** A write of a key of its own, with an idempotency key or without one. */
+    /** A write of a key that no other request uses, with or without an idempotency key. */
     static WorkloadRequest write(String id, boolean keyed) {
         return new WorkloadRequest(id, keyed ? Event.KEYED_WRITE : Event.UNSAFE_WRITE, "w/" + id);
     }
 
-    /** Its id, by which cache servers and the origin report what they do for it. */
+    /** The id under which cache servers and the origin report what they do for the request. */
     String id() {
         return id;
     }
 
-    /** Its kind, one of the details of {@link Event#REQUEST_SENT}. */
+    /** The kind of the request, one of the details of {@link Event#REQUEST_SENT}. */
     String kind() {
         return kind;
     }
 
-    /** The key that it reads or writes. */
+    /** The key that the request reads or writes. */
     String key() {
         return key;
     }
 
-    /** Whether it reads. */
+    /** Returns whether the request is a read. */
     boolean isRead() {
         return kind.equals(Event.READ);
     }
 
-    /** Marks it as retried; returns false if it was before, or if it must not be applied twice. */
+    /** Marks the request as retried; returns false if it already was, or if it must not be applied twice. */
     boolean markRetried() {
         if (retried || kind.equals(Event.UNSAFE_WRITE)) {
             return false;
@@ -54,7 +54,7 @@
         return true;
     }
 
-    /** Its command, with a deadline in milliseconds. */
+    /** The command of the request, with a deadline in milliseconds. */
     String command(int deadlineMs) {
         String options = ",d=" + deadlineMs;
         return switch (kind) {
--- a/src/main/java/cacheproxy/faulttest/check/AtMostOnceChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/AtMostOnceChecker.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * No write takes effect twice, whatever faults there are, and a write whose response says that it was served has taken
- * effect. No fault excuses a violation.
+ * Checks that no write takes effect twice, and that a write whose response reports success has taken effect. No fault
+ * excuses a violation.
  */
 public final class AtMostOnceChecker implements Checker {
     @Override
--- a/src/main/java/cacheproxy/faulttest/check/Checker.java
+++ b/src/main/java/cacheproxy/faulttest/check/Checker.java
@@ -7,7 +7,7 @@
     /** The short name under which results are reported. */
     String name();
 
-    /** Judges a history. */
+    /** Checks a history. */
     Violations check(RunHistory run);
 
     /** All checkers whose invariants hold in any scenario. */
--- a/src/main/java/cacheproxy/faulttest/check/CrashChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/CrashChecker.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** No process exits that the test neither killed nor asked to terminate. */
+/** Checks that no process exits unless the test killed it or asked it to terminate. */
 public final class CrashChecker implements Checker {
     @Override
     public String name() {
--- a/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * No proxy sends a new request to a cache server that has been draining for longer than the grace period. For a proxy
- * that could not reach discovery the period starts later, when it can be expected to have been notified.
+ * Checks that no proxy sends a new request to a cache server that has been draining for longer than the grace period.
+ * For a proxy that could not reach discovery the period starts later, when it can be expected to have been notified.
  */
 public final class DrainChecker implements Checker {
     /** How long requests may still be sent to a draining server. */
     static final long GRACE_PERIOD_US = 2_050_000;
-    /** How long after it can reach discovery again a proxy may take to be notified. */
+    /** Limit on the time until a proxy is notified after it can reach discovery again. */
     static final long NOTIFICATION_TIME_US = 6_000_000;
 
     @Override
--- a/src/main/java/cacheproxy/faulttest/check/EndpointSpans.java
+++ b/src/main/java/cacheproxy/faulttest/check/EndpointSpans.java
@@ -9,12 +9,12 @@
 final class EndpointSpans {
     /** A span; both ends belong to it. */
     record Span(long fromUs, long toUs) {
-        /** Whether it has a moment in common with another span. */
+        /** Returns whether it overlaps another span. */
         boolean overlaps(long otherFromUs, long otherToUs) {
             return fromUs <= otherToUs && otherFromUs <= toUs;
         }
 
-        /** How long it and another span have in common, microseconds. */
+        /** The length of the overlap with another span, microseconds. */
         long overlapUs(long otherFromUs, long otherToUs) {
             return Math.max(0, Math.min(otherToUs, toUs) - Math.max(otherFromUs, fromUs));
         }
@@ -28,7 +28,7 @@
         openSinceUs.putIfAbsent(endpoint, fromUs);
     }
 
-    /** Whether a span of an endpoint has begun and not ended. */
+    /** Returns whether a span of an endpoint has begun and not ended. */
     boolean isOpen(String endpoint) {
         return openSinceUs.containsKey(endpoint);
     }
@@ -47,7 +47,7 @@
         openSinceUs.clear();
     }
 
-    /** Adds a whole span. */
+    /** Adds a span that has ended. */
     void add(String endpoint, long fromUs, long toUs) {
         spans.computeIfAbsent(endpoint, key -> new ArrayList<>()).add(new Span(fromUs, toUs));
     }
@@ -57,7 +57,7 @@
         return spans.getOrDefault(endpoint, List.of());
     }
 
-    /** Whether a span of an endpoint overlaps the given one. */
+    /** Returns whether a span of an endpoint overlaps the given one. */
     boolean overlaps(String endpoint, long fromUs, long toUs) {
         return of(endpoint).stream().anyMatch(span -> span.overlaps(fromUs, toUs));
     }
--- a/src/main/java/cacheproxy/faulttest/check/Event.java
+++ b/src/main/java/cacheproxy/faulttest/check/Event.java
@@ -1,9 +1,9 @@
 package cacheproxy.faulttest.check;
 
 /**
- * One observation of a fault test run, made from outside the processes. Its types and details are plain strings as they
- * stand in the history file, so that a history with types of another release can still be read; checkers ignore types
- * that they don't know.
+ * One observation of a fault test run, made from outside the processes. Its types and details are the plain strings of
+ * the history file, so that a history with types of another release can still be read; checkers ignore types that they
+ * don't know.
  *
  * @param timeUs when it was noticed, microseconds since the run's start on the runner's monotonic clock
  * @param uncertaintyUs how much earlier it may have happened, microseconds: the delay of the runner in noticing it
@@ -15,7 +15,7 @@
  */
 public record Event(
         long timeUs, long uncertaintyUs, String endpoint, String type, String id, String detail, double value) {
-    /** The {@link #endpoint} of what the test harness itself did. */
+    /** The {@link #endpoint} of events of the test runner itself. */
     public static final String RUNNER = "rig";
 
     /** The scenario as it was played: name in {@code id}, TOML in {@code detail}; the first event of a history. */
@@ -25,7 +25,7 @@
      * value: its deadline, ms.
      */
     public static final String REQUEST_SENT = "asked";
-    /** The response came. Detail: {@link #SERVED}, {@link #REJECTED}, {@link #FAILED} or {@link #WRONG}. */
+    /** A response was received. Detail: {@link #SERVED}, {@link #REJECTED}, {@link #FAILED} or {@link #WRONG}. */
     public static final String RESPONSE_RECEIVED = "answered";
     /** The request's connection ended without a complete response. */
     public static final String CONNECTION_CLOSED = "gone";
@@ -41,7 +41,7 @@
     public static final String SERVER_UP = "up";
     /** A cache server was killed. */
     public static final String SERVER_KILLED = "died";
-    /** A cache server is back, empty and cold. */
+    /** A killed cache server was restarted, empty and cold. */
     public static final String SERVER_STARTED = "born";
     /** A proxy's process was started; value: its process id. */
     public static final String PROCESS_STARTED = "started";
@@ -63,15 +63,15 @@
     public static final String FAULT_STARTED = "fault";
     /** A fault ended; id: its index in the scenario. */
     public static final String FAULT_ENDED = "healed";
-    /** A proxy responded to an empty call; value: its latency, ms. */
+    /** A proxy responded to a ping; value: its latency, ms. */
     public static final String PROXY_PINGED = "pulse";
     /**
-     * A proxy was asked whether it holds lease {@code id}, and answered. The uncertainty reaches back to the question.
-     * Detail: {@link #HELD} or {@link #NOT_HELD}; value: the epoch.
+     * A proxy responded to a poll for whether it holds lease {@code id}. The uncertainty reaches back to the sending of
+     * the poll. Detail: {@link #HELD} or {@link #NOT_HELD}; value: the epoch.
      */
     public static final String LEASE_POLLED = "duty";
     /**
-     * An action that a job beside a proxy took under lease {@code id} reached its store. Detail: {@link #ACCEPTED} or
+     * An action of a proxy's job under lease {@code id} reached its store. Detail: {@link #ACCEPTED} or
      * {@link #REJECTED}; value: the epoch.
      */
     public static final String LEADER_ACTION = "act";
@@ -88,7 +88,7 @@
     public static final String REJECTED = "refused";
     /** Detail of {@link #RESPONSE_RECEIVED}: an error. */
     public static final String FAILED = "failed";
-    /** Detail of {@link #RESPONSE_RECEIVED}: content that was never made for the request. */
+    /** Detail of {@link #RESPONSE_RECEIVED}: content that does not belong to the request. */
     public static final String WRONG = "wrong";
     /** Detail of {@link #LEASE_POLLED}: the proxy holds the lease. */
     public static final String HELD = "yes";
@@ -97,12 +97,12 @@
     /** Detail of {@link #LEADER_ACTION}: the store accepted it. */
     public static final String ACCEPTED = "accepted";
 
-    /** Whether it is of this type. */
+    /** Returns whether the event has this type. */
     public boolean is(String expectedType) {
         return type.equals(expectedType);
     }
 
-    /** Whether it is of this type and has this detail. */
+    /** Returns whether the event has this type and this detail. */
     public boolean is(String expectedType, String expectedDetail) {
         return type.equals(expectedType) && detail.equals(expectedDetail);
     }
--- a/src/main/java/cacheproxy/faulttest/check/FencingChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/FencingChecker.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * No store accepts a leader action with the fencing token of an older epoch after one of a newer epoch, however long
- * the sender was paused in between.
+ * Checks that no store accepts a leader action with the fencing token of an older epoch after one of a newer epoch,
+ * regardless of how long the sender was paused in between.
  */
 public final class FencingChecker implements Checker {
     @Override
--- a/src/main/java/cacheproxy/faulttest/check/LeaseStats.java
+++ b/src/main/java/cacheproxy/faulttest/check/LeaseStats.java
@@ -7,7 +7,7 @@
 import java.util.OptionalDouble;
 import java.util.TreeMap;
 
-/** Figures about leases over a run: tenures, spans without a holder, takeover times, rejected leader actions. */
+/** Statistics of leases over a run: tenures, spans without a holder, takeover times, rejected leader actions. */
 public final class LeaseStats {
     /** A takeover later than this after a fault is not attributed to the fault. */
     private static final double MAX_TAKEOVER_MS = 8000;
@@ -47,8 +47,8 @@
     }
 
     /**
-     * By kind of fault: how many milliseconds after a fault at a lease's holder a newer epoch was first reported,
-     * sorted. Faults after which the holder kept its lease don't count.
+     * For each kind of fault, the sorted times in milliseconds from a fault at a lease's holder to the first report of
+     * a newer epoch. Faults after which the holder kept its lease don't count.
      */
     public static Map<String, double[]> takeoverTimesMs(RunHistory run) {
         Map<String, List<Double>> timesByKind = new TreeMap<>();
@@ -106,7 +106,7 @@
         return OptionalDouble.empty();
     }
 
-    /** The epoch that was reported last before an event; -1 if none was. */
+    /** The last epoch that was reported before an event; -1 if there is none. */
     private static double epochBefore(List<Event> events, int index, String lease) {
         double epoch = -1;
         for (int i = index - 1; i >= 0 && epoch < 0; i--) {
--- a/src/main/java/cacheproxy/faulttest/check/MutualExclusionChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/MutualExclusionChecker.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * Each lease has at most one holder at a time, and its epochs grow. A proxy's report that it holds the lease was true
- * at some moment between poll and response. So no poll that began after a report of a newer epoch may report an older
- * one, and no two proxies may report the same epoch.
+ * Checks that each lease has at most one holder at a time, and that its epochs increase. A proxy's report that it holds
+ * the lease was true at some moment between poll and response. So no poll that began after a report of a newer epoch
+ * may report an older one, and no two proxies may report the same epoch.
  */
 public final class MutualExclusionChecker implements Checker {
     @Override
@@ -30,7 +30,7 @@
         return violations;
     }
 
-    /** What proxies reported of one lease so far. */
+    /** The reports of proxies about one lease so far. */
     private static final class LeaseReports {
         private final Map<Double, String> holderByEpoch = new HashMap<>();
         /** The first report of each epoch newer than all before it, by its time. */
--- a/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
@@ -11,19 +11,19 @@
 import java.util.Set;
 
 /**
- * The proxies together keep the fleet-wide quota of the scenario, measured where requests arrive at cache servers. A
- * request counts once, however many attempts it takes.
+ * Checks that the proxies together keep the fleet-wide quota of the scenario, measured where requests arrive at cache
+ * servers. A request counts once, regardless of the number of attempts.
  *
- * <p>Rate: in no window did certainly more requests arrive than the rate, the burst, and the drift of fast clocks
- * allow. Concurrency: a request is certainly in flight from its arrival at a server until
- * {@value #MAX_RESPONSE_TRANSIT_MS} ms before its client had the response, which may have been on its way for so long.
+ * <p>Rate: no window contains more certain arrivals than the rate, the burst, and the drift of fast clocks allow.
+ * Concurrency: a request is certainly in flight from its arrival at a server until {@value #MAX_RESPONSE_TRANSIT_MS} ms
+ * before its client received the response, as the response can have been on its way for that long.
  */
 public final class QuotaChecker implements Checker {
     /** Lengths of the windows over which a rate is judged, ms. */
     static final double[] WINDOWS_MS = {100, 1000, 10_000};
-    /** How long a response may be on its way to the client, ms. */
+    /** Longest time for which a response can be on its way to the client, ms. */
     static final double MAX_RESPONSE_TRANSIT_MS = 25;
-    /** By which share a process's clock may run fast. */
+    /** Fraction by which a process's clock can run fast. */
     private static final double MAX_CLOCK_DRIFT = 0.01;
 
     @Override
@@ -65,7 +65,7 @@
         }
     }
 
-    /** How many requests may arrive in a window of this length. */
+    /** The number of requests that may arrive in a window of this length. */
     public static double allowedRequests(Scenario.Quota quota, double windowMs) {
         return quota.perSecond() * windowMs / 1000 * (1 + MAX_CLOCK_DRIFT) + quota.allowance();
     }
@@ -86,10 +86,10 @@
     }
 
     /**
-     * The window in which most requests certainly arrived.
+     * The window with the most certain arrivals of requests.
      *
-     * @param requests how many arrived in it
-     * @param lastIndex the index of the arrival with which it ends
+     * @param requests number of certain arrivals in the window
+     * @param lastIndex index of the arrival with which the window ends
      */
     record BusiestWindow(int requests, int lastIndex) {
         /** The busiest window of a length, over arrivals in the order of time. */
@@ -103,7 +103,7 @@
                 while (first < last && arrivals.get(first).timeUs() < startUs) {
                     first++;
                 }
-                // Only those count that can't have arrived before the window's start.
+                // Count only requests that can't have arrived before the window's start.
                 int requests = 0;
                 for (int i = first; i <= last; i++) {
                     requests += earliestUs[i] >= startUs ? 1 : 0;
--- a/src/main/java/cacheproxy/faulttest/check/QuotaStats.java
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaStats.java
@@ -6,11 +6,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** Figures about the rate of a fleet-wide quota over a run: how far it was exceeded, and how much of it lay unused. */
+/** Statistics of a fleet-wide rate quota over a run: by how much it was exceeded, and how much of it was unused. */
 public final class QuotaStats {
     private QuotaStats() {}
 
-    /** By window of 100 ms, 1 s and 10 s: the most requests that arrived, minus what the rate alone allows. */
+    /**
+     * For windows of 100 ms, 1 s and 10 s: the maximum number of requests that arrived, minus the number that the rate
+     * alone allows.
+     */
     public static double[] excessByWindow(RunHistory run) {
         List<Event> arrivals = QuotaChecker.arrivals(run);
         double perSecond = run.scenario().quota().perSecond();
@@ -21,9 +24,10 @@
     }
 
     /**
-     * The share of the rate, 0 to 1, that lay unused while requests were rejected. By whole seconds of the load.
+     * The share of the rate, 0 to 1, that was unused while requests were rejected, computed for whole seconds of the
+     * load.
      *
-     * @param skippedMs so long a time at the load's start does not count
+     * @param skippedMs time at the start of the load that is left out
      */
     public static double unusedShare(RunHistory run, double skippedMs) {
         double[] sentMs = run.events().stream()
--- a/src/main/java/cacheproxy/faulttest/check/RunHistory.java
+++ b/src/main/java/cacheproxy/faulttest/check/RunHistory.java
@@ -15,7 +15,7 @@
  * discovery. Times in microseconds since the run's start.
  */
 public final class RunHistory {
-    /** A proxy that can reach discovery for so long is notified of changes. */
+    /** A proxy that can reach discovery for this long is notified of changes. */
     private static final long MIN_NOTIFICATION_US = 300_000;
 
     private final Scenario scenario;
@@ -113,19 +113,19 @@
         return endUs;
     }
 
-    /** Whether a proxy was paused or down at some time of a span. */
+    /** Returns whether a proxy was paused or down at some time of a span. */
     public boolean wasPausedOrDown(String proxy, long fromUs, long toUs) {
         return paused.overlaps(proxy, fromUs, toUs) || down.overlaps(proxy, fromUs, toUs);
     }
 
-    /** Whether a proxy was terminating, not running, or not ready yet at some time of a span. */
+    /** Returns whether a proxy was terminating, not running, or not ready yet at some time of a span. */
     public boolean wasDown(String proxy, long fromUs, long toUs) {
         return down.overlaps(proxy, fromUs, toUs);
     }
 
     /**
-     * Whether a proxy was down after a kill or a crash at some time of a span. One that terminates on request is not,
-     * until it is killed.
+     * Returns whether a proxy was down after a kill or a crash at some time of a span. A proxy that terminates on
+     * request does not count until it is killed.
      */
     public boolean wasKilled(String proxy, long fromUs, long toUs) {
         return killed.overlaps(proxy, fromUs, toUs);
@@ -137,8 +137,8 @@
     }
 
     /**
-     * From when on a proxy could be notified by discovery: the given time, or the end of the faults that prevented it
-     * from then on, with no pause between them that was long enough for a notification.
+     * The time from which discovery could notify a proxy: the given time, or the end of the faults that prevented a
+     * notification from that time on. Gaps between faults that were too short for a notification don't count.
      */
     public long discoveryReachableFromUs(String proxy, long fromUs) {
         List<EndpointSpans.Span> faults = Stream.of(paused, down, cutOffFromDiscovery)
--- a/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
+++ b/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
@@ -8,14 +8,14 @@
 import java.util.Set;
 
 /**
- * How requests were served and how load was spread over cache servers, in a part of a run.
+ * How requests were served and how load was spread over cache servers, in a period of a run.
  *
- * @param requests how many were sent
- * @param withinDeadline of them served within their deadline
- * @param served of them served
- * @param rejected of them rejected
- * @param failed of them answered otherwise
- * @param unanswered of them without a response
+ * @param requests requests that were sent
+ * @param withinDeadline requests served within their deadline
+ * @param served requests served
+ * @param rejected requests rejected
+ * @param failed requests with any other response
+ * @param unanswered requests without a response
  * @param medianMs median latency of served requests; NaN if there are none
  * @param p99Ms 99th percentile of the latency of served requests; NaN if there are none
  * @param busiestServerRatio commands at the busiest server over the mean of all
@@ -38,7 +38,10 @@
         double attemptsPerRequest) {
     private static final String STALL_PREFIX = "node-stall ";
 
-    /** Over the requests that were sent in a span of the run, milliseconds since its start; its end is exclusive. */
+    /**
+     * Computes the statistics of the requests that were sent in a span of the run, in milliseconds since its start; the
+     * end of the span is exclusive.
+     */
     public static ServiceStats of(RunHistory run, double fromMs, double toMs) {
         Tally tally = new Tally(run);
         for (Event event : run.events()) {
@@ -47,7 +50,7 @@
         return tally.stats();
     }
 
-    /** Counts while a history is read. */
+    /** Counters that are updated while a history is read. */
     private static final class Tally {
         private final Map<String, Event> requestById = new HashMap<>();
         private final TargetSelector endpoints;
--- a/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
@@ -6,16 +6,19 @@
 import java.util.Set;
 
 /**
- * Each request that a proxy has accepted gets one final response, in time, also during a graceful shutdown.
+ * Checks that each request that a proxy has accepted gets one final response, in time, also during a graceful shutdown.
  *
- * <p>Excused are requests in flight at a process that was killed; and the time for which a process was paused does not
- * count. A connection that is closed by a graceful shutdown may cross a new request, which then must not have been
- * forwarded.
+ * <p>Requests in flight at a process that was killed are excused, and the time for which a process was paused does not
+ * count. A graceful shutdown can close a connection while a new request is on its way; that request must then not have
+ * been forwarded.
  */
 public final class SingleResponseChecker implements Checker {
     /** How much later than its deadline a response may come. */
     private static final long SLACK_US = 550_000;
-    /** Two threads notice a kill and the reset connections that it causes; so far apart may they be. */
+    /**
+     * Limit on the time between the events of a kill and of the reset connections that it causes, which are noticed by
+     * two threads.
+     */
     private static final long MAX_NOTICE_SKEW_US = 100_000;
 
     @Override
@@ -31,7 +34,7 @@
         return historyCheck.violations;
     }
 
-    /** A request and what became of it so far. */
+    /** A request and its state so far. */
     private static final class Request {
         final Event sent;
         boolean concluded;
@@ -46,7 +49,7 @@
             return sent.endpoint();
         }
 
-        /** Its deadline, as a span from when it was sent. */
+        /** The time from when the request was sent to its deadline. */
         long deadlineUs() {
             return (long) (sent.value() * 1000);
         }
@@ -138,10 +141,10 @@
             request.concluded = true;
         }
 
-        /** Requests that had neither a response nor a closed connection when the history ended. */
+        /** Finds requests that had neither a response nor a closed connection when the history ended. */
         void findUnanswered() {
             for (Request request : requests.values()) {
-                // A kill counts until the request was due: all processes are killed at the run's end.
+                // Only a kill before the request was due excuses it, as all processes are killed at the run's end.
                 long dueUs = request.sent.timeUs() + request.deadlineUs() + SLACK_US;
                 if (!request.concluded
                         && !request.connectionClosed
@@ -158,7 +161,7 @@
                     || isExcusedByPause(request, event.earliestUs());
         }
 
-        /** Whether a request is in time once the time for which its proxy was paused is taken off. */
+        /** Returns whether a request is in time after the time for which its proxy was paused is subtracted. */
         private boolean isExcusedByPause(Request request, long untilUs) {
             long pausedUs = run.pausedUs(request.proxy(), request.sent.earliestUs(), untilUs);
             return pausedUs > 0 && untilUs - request.sent.timeUs() - pausedUs < request.deadlineUs() + SLACK_US;
--- a/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * All proxies together respect the slow start of a cache server that has come back cold: in no window do they send it
- * more than a multiple of its capacity at the window's start.
+ * Checks that all proxies together respect the slow start of a cache server that was restarted cold: in no window do
+ * they send it more than a multiple of its capacity at the window's start.
  */
 public final class SlowStartChecker implements Checker {
     /** The share of its capacity that a server has when it starts. */
     static final double INITIAL_CAPACITY_SHARE = 0.3;
-    /** How long its capacity takes to grow to the whole, in a straight line. */
+    /** Time in which the server's capacity grows linearly to its full value. */
     static final double WARM_UP_MS = 9000;
-    /** The multiple of its capacity from which on commands are a violation. */
+    /** Ratio of commands to capacity above which there is a violation. */
     static final double MAX_CAPACITY_RATIO = 3;
     /** Length of the windows over which commands are counted. */
     static final double WINDOW_MS = 1500;
@@ -26,7 +26,7 @@
         return "cold-sum";
     }
 
-    /** The most that any server was sent in the run that was checked last, as a multiple of its capacity. */
+    /** The highest ratio of commands to capacity at any server in the run that was checked last. */
     public double worstRatio() {
         return worstRatio;
     }
@@ -91,7 +91,7 @@
             }
         }
 
-        /** Commands in the window over what the server could do at the window's start. */
+        /** Ratio of the commands in the window to the server's capacity at the window's start. */
         double capacityRatio(double warmPerSecond) {
             double ageMs = Math.max(0, arrivalsMs.peek() - startedMs);
             double capacityShare = INITIAL_CAPACITY_SHARE + (1 - INITIAL_CAPACITY_SHARE) * ageMs / WARM_UP_MS;
--- a/src/main/java/cacheproxy/faulttest/check/Verdict.java
+++ b/src/main/java/cacheproxy/faulttest/check/Verdict.java
@@ -8,7 +8,7 @@
 /**
  * The result of a fault test run.
  *
- * @param invalidReasons why the run does not count; empty if it does
+ * @param invalidReasons why the run is not valid; empty if it is
  * @param violationsByChecker what each checker found, by its name, in the order of the checks
  */
 public record Verdict(List<String> invalidReasons, Map<String, Violations> violationsByChecker) {
@@ -19,12 +19,12 @@
         return new Verdict(List.copyOf(invalidReasons), violationsByChecker);
     }
 
-    /** Whether the run counts and no invariant was violated. */
+    /** Returns whether the run is valid and no invariant was violated. */
     public boolean passed() {
         return invalidReasons.isEmpty() && !violated();
     }
 
-    /** Whether any invariant was violated. This proves nothing if the run does not count. */
+    /** Returns whether any invariant was violated. This proves nothing if the run is not valid. */
     public boolean violated() {
         return violationsByChecker.values().stream().anyMatch(violations -> violations.count() > 0);
     }
--- a/src/main/java/cacheproxy/faulttest/check/Violations.java
+++ b/src/main/java/cacheproxy/faulttest/check/Violations.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * What a checker found: the number of violations, messages for the first of them, and how many items were judged, as no
- * violation among no items proves nothing.
+ * What a checker found: the number of violations, messages for the first of them, and how many items were judged, as
+ * zero violations among zero judged items prove nothing.
  */
 public final class Violations {
     /** Violations that get a message; later ones are only counted. */
@@ -21,7 +21,7 @@
         judged++;
     }
 
-    /** Adds a violation, noticed with this event. */
+    /** Adds a violation that was detected at this event. */
     void add(Event event, String message) {
         count++;
         if (messages.size() < MAX_MESSAGES) {
--- a/src/main/java/cacheproxy/faulttest/scenario/Fault.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Fault.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * One fault that is injected at a time and ends after another. Times in milliseconds from the load's start. Which
- * components count depends on the kind.
+ * One fault, with the time of its injection and its duration. Times are in milliseconds from the load's start. Which
+ * components are used depends on the kind.
  *
  * @param kind what happens
  * @param atMs when it begins
- * @param durationMs how long it lasts; a process that was ended is started again then
+ * @param durationMs how long it lasts; a process that the fault ended is then restarted
  * @param targets endpoints that it hits, or one end of the links that it hits
  * @param linkPeers the other ends of the links; empty for other kinds
  * @param twoWay whether links are faulty in both directions
  * @param linkFault what happens on the links; null for other kinds
  * @param speedShare the share of its speed that a slowed process keeps, 0 to 1
- * @param cycleMs how often a slowed process is paused and resumed
- * @param emptyDisk whether a process that is started again finds its folder empty
- * @param staggerMs how much later each target is hit than the one before
- * @param holderOf a lease: the fault hits its holder at the time when it begins, and {@code targets} only where no
- *     holder is known; empty: always {@code targets}
+ * @param cycleMs period in which a slowed process is paused and resumed once
+ * @param emptyDisk whether a restarted process finds its directory empty
+ * @param staggerMs time between the injection at one target and at the next
+ * @param holderOf name of a lease: the fault hits the proxy that holds the lease when the fault begins, or
+ *     {@code targets} if no holder is known; if empty, it always hits {@code targets}
  */
 public record Fault(
         Kind kind,
@@ -34,7 +34,7 @@
         double staggerMs,
         String holderOf) {
 
-    /** Makes a fault that hits the given targets, whoever holds a lease. */
+    /** Makes a fault that hits the given targets, regardless of lease holders. */
     public Fault(
             Kind kind,
             double atMs,
@@ -62,7 +62,7 @@
                 "");
     }
 
-    /** Makes a fault; components that don't count for its kind get neutral values. */
+    /** Makes a fault; components that its kind does not use get neutral values. */
     public Fault {
         speedShare = kind == Kind.SLOW ? speedShare : 1;
         cycleMs = kind == Kind.SLOW ? cycleMs : 0;
@@ -77,15 +77,15 @@
         LINK("link"),
         /** SIGSTOP to a proxy, and SIGCONT at the end. */
         PAUSE("stop"),
-        /** SIGSTOP and SIGCONT to a proxy in turns. */
+        /** SIGSTOP and SIGCONT to a proxy alternately. */
         SLOW("slow"),
-        /** SIGTERM to a proxy; it is started again at the end. */
+        /** SIGTERM to a proxy; it is restarted at the end. */
         TERMINATE("term"),
-        /** SIGKILL to a proxy; it is started again at the end. */
+        /** SIGKILL to a proxy; it is restarted at the end. */
         KILL("kill"),
-        /** A cache server responds to nothing, and at the end to all that came. */
+        /** A cache server sends no responses; at the end it responds to all commands that arrived meanwhile. */
         SERVER_STALL("node-stall"),
-        /** A cache server dies; it is back empty and cold at the end. */
+        /** A cache server is killed; it is restarted empty and cold at the end. */
         SERVER_KILL("node-kill"),
         /** Discovery lists a cache server as draining, and as up again at the end. */
         SERVER_DRAIN("node-drain");
@@ -96,17 +96,17 @@
             this.tomlName = tomlName;
         }
 
-        /** Its name in scenario files, histories and reports. */
+        /** The name in scenario files, histories and reports. */
         public String tomlName() {
             return tomlName;
         }
 
-        /** Whether a process ends when it begins, and is started again when it ends. */
+        /** Returns whether the fault ends a process at its beginning and restarts it at its end. */
         boolean restartsProcess() {
             return this == TERMINATE || this == KILL;
         }
 
-        /** Whether its targets are cache servers. */
+        /** Returns whether the targets are cache servers. */
         boolean hitsServers() {
             return this == SERVER_STALL || this == SERVER_KILL || this == SERVER_DRAIN;
         }
@@ -116,8 +116,8 @@
      * What happens on a faulty link.
      *
      * @param lossShare share of datagrams that are lost, 0 to 1; at 1 connections stay open and transfer nothing
-     * @param delayMs how much later each datagram arrives
-     * @param jitterMs up to how much more each datagram is delayed at random, so that they are reordered
+     * @param delayMs delay of each datagram
+     * @param jitterMs maximum random delay that is added for each datagram, so that datagrams are reordered
      * @param duplicateShare share of datagrams that arrive twice, 0 to 1
      * @param corruptShare share of datagrams of which one byte is changed, 0 to 1
      * @param resetsConnections whether connections are reset and new ones refused
@@ -132,7 +132,7 @@
         /** A link that transfers nothing. */
         public static final LinkFault CUT = new LinkFault(1, 0, 0, 0, 0, false);
 
-        /** Makes one; an IllegalArgumentException says which values are out of range. */
+        /** Checks the components; throws an IllegalArgumentException if one is out of range. */
         public LinkFault {
             if (!isShare(lossShare)
                     || !isShare(duplicateShare)
@@ -149,17 +149,17 @@
         }
     }
 
-    /** When it has ended for all its targets. */
+    /** The time at which the fault has ended at all its targets. */
     public double endMs() {
         return atMs + durationMs + staggerMs * Math.max(0, targets.size() - 1);
     }
 
-    /** Whether it hits links. */
+    /** Returns whether the fault hits links. */
     public boolean hitsLinks() {
         return kind == Kind.LINK;
     }
 
-    /** Whether it hits cache servers. */
+    /** Returns whether the fault hits cache servers. */
     public boolean hitsServers() {
         return kind.hitsServers();
     }
@@ -203,7 +203,7 @@
                 holderOf);
     }
 
-    /** Its table in a scenario file, so that a run can be repeated. */
+    /** The fault's table in a scenario file, so that a run can be repeated. */
     public String toToml() {
         StringBuilder text = new StringBuilder("[[fault]]\n")
                 .append("kind = \"" + kind.tomlName() + "\"\n")
--- a/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Which links are faulty now, and what happens to traffic on them. Links are ordered pairs of {@link TargetSelector}
- * indices. Several faults on one link apply one after another: what one lets through the next may still lose, and
- * delays add up. Not thread-safe; the relays' event loop owns it.
+ * The links that are currently faulty, and the effect of their faults on traffic. Links are ordered pairs of
+ * {@link TargetSelector} indices. Several faults on one link apply one after another: a datagram that one fault lets
+ * through can be lost by the next, and delays add up. Not thread-safe; the relays' event loop owns it.
  */
 public final class NetworkLinks {
     /**
@@ -42,8 +42,8 @@
         activeFaults.add(new ActiveFault(fault, indicesOf(fault.targets()), indicesOf(fault.linkPeers())));
     }
 
-    /** Ends a link fault; it must be the same object that began. */
-    @SuppressWarnings("ReferenceEquality") // identity is meant
+    /** Ends a link fault; it must be the same object that was passed to {@link #begin}. */
+    @SuppressWarnings("ReferenceEquality") // only the fault object that began is to end
     public void end(Fault fault) {
         activeFaults.removeIf(activeFault -> activeFault.fault == fault);
     }
@@ -54,7 +54,10 @@
         return indices;
     }
 
-    /** How a datagram arrives: once for each element of the list, and not at all if it is empty. */
+    /**
+     * Draws the deliveries of a datagram: it arrives once for each element of the list, and not at all if the list is
+     * empty.
+     */
     public List<Delivery> deliveries(int from, int to, SplittableRandom random) {
         List<Delivery> deliveries = NORMAL_DELIVERY;
         for (ActiveFault activeFault : activeFaults) {
@@ -82,26 +85,28 @@
         return faultyDeliveries;
     }
 
-    /** Draws only where the share is above 0. */
+    /** Returns true with a probability; draws a random number only if the probability is above 0. */
     private static boolean occurs(double probability, SplittableRandom random) {
         return probability > 0 && random.nextDouble() < probability;
     }
 
-    /** Whether connections between two endpoints are reset and new ones refused, whichever direction is faulty. */
+    /**
+     * Returns whether connections between two endpoints are reset and new ones refused, whichever direction is faulty.
+     */
     public boolean resetsConnections(int from, int to) {
         return activeFaults.stream()
                 .anyMatch(activeFault -> activeFault.fault.linkFault().resetsConnections()
                         && (activeFault.applies(from, to) || activeFault.applies(to, from)));
     }
 
-    /** Whether a connection stays open and transfers no bytes in this direction. */
+    /** Returns whether a connection stays open and transfers no bytes in this direction. */
     public boolean blocksConnections(int from, int to) {
         return activeFaults.stream()
                 .anyMatch(
                         activeFault -> activeFault.fault.linkFault().lossShare() == 1 && activeFault.applies(from, to));
     }
 
-    /** How much later bytes of a connection arrive in this direction, milliseconds; their order stays. */
+    /** The delay of a connection's bytes in this direction, milliseconds; their order is preserved. */
     public double delayMs(int from, int to) {
         double sumMs = 0;
         for (ActiveFault activeFault : activeFaults) {
--- a/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
@@ -8,20 +8,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Random faults; the same seed gives the same ones. Faults of the same process may overlap; the fault injector decides
- * what becomes of the later one.
+ * Random faults; the same seed gives the same faults. Faults of the same process can overlap; the fault injector
+ * decides which effect the later one has.
  *
- * @param count how many
- * @param kinds of which kinds; LINK stands for cuts, one-way cuts, losses, duplicates and delays alike
- * @param fromMs when the first may begin
- * @param toMs when the last must have ended
- * @param maxDurationMs how long one may last; the shortest lasts a tenth of it
+ * @param count number of faults
+ * @param kinds the kinds to draw from; LINK includes cuts, one-way cuts, losses, duplicates and delays
+ * @param fromMs earliest beginning of a fault
+ * @param toMs latest end of a fault
+ * @param maxDurationMs longest duration of a fault; the shortest is a tenth of it
  */
 public record RandomFaults(int count, List<Kind> kinds, double fromMs, double toMs, double maxDurationMs) {
     private static final double SLOW_CYCLE_MS = 50;
     private static final double SLOW_SPEED_SHARE = 0.1;
 
-    /** Makes one; an IllegalArgumentException says which values don't fit together. */
+    /** Checks the components; throws an IllegalArgumentException if they don't fit together. */
     public RandomFaults {
         kinds = List.copyOf(kinds);
         if (count < 0 || kinds.isEmpty() || !(toMs - fromMs >= maxDurationMs) || !(maxDurationMs > 0)) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Draws the faults, in the order of their beginnings. Targets are names, so that no later draw is needed. */
+    /** Draws the faults, ordered by their beginnings. Targets are given by name, so that no later draw is needed. */
     public List<Fault> draw(TargetSelector endpoints, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> drawn = new ArrayList<>();
--- a/src/main/java/cacheproxy/faulttest/scenario/RunValidity.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RunValidity.java
@@ -5,13 +5,13 @@
 import java.util.Locale;
 
 /**
- * Whether the machine kept up, so that a run counts. On a machine that was too slow there is no verdict rather than a
+ * Whether the machine kept up, so that a run is valid. If the machine was too slow, there is no verdict rather than a
  * wrong one.
  *
  * @param relayLagP99Ms 99th percentile of the lag of the relay's event loop
- * @param relayLagMaxMs its maximum
+ * @param relayLagMaxMs maximum of that lag
  * @param scheduleLagP99Ms 99th percentile of how much later than scheduled requests were sent
- * @param pingP99Ms 99th percentile of the latency of an empty call to proxies without a fault
+ * @param pingP99Ms 99th percentile of the latency of pings to proxies without a fault
  * @param busyShare share of samples, 0 to 1, in which nearly all processors were busy
  * @param droppedEvents events that did not fit into the history
  * @param droppedDatagrams datagrams that the relay dropped without a fault
@@ -24,20 +24,20 @@
         double busyShare,
         long droppedEvents,
         long droppedDatagrams) {
-    /** The most that {@link #relayLagP99Ms} may be. */
+    /** Limit on {@link #relayLagP99Ms}. */
     public static final double MAX_RELAY_LAG_P99_MS = 50;
-    /** The most that {@link #relayLagMaxMs} may be. */
+    /** Limit on {@link #relayLagMaxMs}. */
     public static final double MAX_RELAY_LAG_MS = 1500;
-    /** The most that {@link #scheduleLagP99Ms} may be. */
+    /** Limit on {@link #scheduleLagP99Ms}. */
     public static final double MAX_SCHEDULE_LAG_P99_MS = 100;
-    /** The most that {@link #pingP99Ms} may be. */
+    /** Limit on {@link #pingP99Ms}. */
     public static final double MAX_PING_P99_MS = 300;
     /** CPU load of the machine, 0 to 1, above which nearly all processors are busy. */
     public static final double BUSY_CPU_LOAD = 0.9;
-    /** The most that {@link #busyShare} may be: processes that start together need the processors for a while. */
+    /** Limit on {@link #busyShare}; it is above 0, as processes that start together need the processors for a while. */
     public static final double MAX_BUSY_SHARE = 0.1;
 
-    /** Why the run does not count; empty if it does. A value that is NaN is a problem as well. */
+    /** The reasons why the run is not valid; empty if it is. A value that is NaN is a problem as well. */
     public List<String> problems() {
         List<String> problems = new ArrayList<>();
         addIfOver(problems, "the relay was late by (p99)", relayLagP99Ms, MAX_RELAY_LAG_P99_MS);
--- a/src/main/java/cacheproxy/faulttest/scenario/Scenario.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Scenario.java
@@ -5,27 +5,27 @@
 /**
  * A scenario: the fleet, its load and the faults of a run. Times in milliseconds from the load's start.
  *
- * @param name where it was read
+ * @param name the name in reports and errors, usually the path of the file
  * @param program the command that proxies run: {@code serve} or {@code run}
- * @param proxies how many there are
- * @param servers cache servers, how many there are
+ * @param proxies number of proxies
+ * @param servers number of cache servers
  * @param zones assigned to proxies and servers in turn
- * @param seed of all random draws
+ * @param seed seed of all random draws
  * @param serverPerSecond capacity of a warm server, requests a second
  * @param serverQueueLimit commands that may wait at a server
  * @param warmServers whether servers hold all keys from the start
  * @param relayServers whether connections to servers go through the relay; those to discovery always do
  * @param discoveryByZone whether each zone has a discovery of its own, with the same lists
- * @param configSuffix for {@code run}: text at the end of each proxy's file, with {@code {me}}, {@code {peers}} and
- *     others replaced
- * @param alternateConfigProxies proxies that have {@code oldConfigSuffix} instead: another release's file, or an
- *     invalid one
- * @param alternateConfigSuffix text at the end of their files
- * @param leases that each proxy is polled for at its control address
- * @param pollMs the least time between two polls of one lease at one proxy
- * @param concurrentStarts proxies that start at the same time
+ * @param configSuffix for {@code run}: text appended to each proxy's configuration file, after {@code {me}},
+ *     {@code {peers}} and other placeholders are replaced
+ * @param alternateConfigProxies proxies that have {@code alternateConfigSuffix} instead, such as the configuration of
+ *     another release or an invalid one
+ * @param alternateConfigSuffix text appended to the configuration files of these proxies
+ * @param leases the leases that each proxy is polled for at its control address
+ * @param pollMs minimum time between two polls of one lease at one proxy
+ * @param concurrentStarts number of proxies that are started at the same time
  * @param load what clients send
- * @param quota the quota that is judged; null: none
+ * @param quota the quota that is checked; null if there is none
  * @param faults in the order of the file, then random ones
  */
 public record Scenario(
@@ -51,24 +51,24 @@
         List<Fault> faults) {
 
     /**
-     * A fleet-wide quota that is judged at the cache servers. It limits either a rate or requests in flight.
+     * A fleet-wide quota that is checked at the cache servers. It limits either a rate or requests in flight.
      *
-     * @param requestKind of the requests that it limits: read, keyed, unsafe
-     * @param perSecond requests a second; 0: it limits requests in flight
-     * @param maxInFlight requests in flight; 0: it limits a rate
-     * @param allowance by how many requests it may be exceeded in any window
+     * @param requestKind kind of the requests that it limits: read, keyed, unsafe
+     * @param perSecond requests per second; 0 if the quota limits requests in flight
+     * @param maxInFlight requests in flight; 0 if the quota limits a rate
+     * @param allowance number of requests by which the quota may be exceeded in any window
      */
     public record Quota(String requestKind, double perSecond, int maxInFlight, double allowance) {}
 
     /**
      * What clients send.
      *
-     * @param seconds how long
-     * @param perSecond requests a second, at all proxies together
+     * @param seconds duration of the load
+     * @param perSecond requests per second at all proxies together
      * @param skew 0: all proxies get the same share; 1: the share of the i-th is proportional to 1/i
-     * @param rotationMs after how long the proxies' shares move on by one proxy; 0: never
-     * @param keys how many keys are read
-     * @param hotShare share of reads of one key, 0 to 1
+     * @param rotationMs time after which the load shares rotate by one proxy; 0 for never
+     * @param keys number of keys that are read
+     * @param hotShare share of reads that go to one hot key, 0 to 1
      * @param writeShare share of requests that write, 0 to 1; half of them keyed, half of them unsafe
      * @param deadlineMs deadline of a request
      */
@@ -94,7 +94,7 @@
         }
     }
 
-    /** The names of its endpoints. */
+    /** The selector for the scenario's endpoints. */
     public TargetSelector targetSelector() {
         return new TargetSelector(proxies, servers, zones);
     }
@@ -124,7 +124,10 @@
                 List.copyOf(newFaults));
     }
 
-    /** Its file, with all random draws made: each fault has its targets' names and times. */
+    /**
+     * The text of the scenario's file with all random draws made: each fault has its times and the names of its
+     * targets.
+     */
     public String toToml() {
         StringBuilder text = new StringBuilder(fleetToml()).append(load.toToml());
         if (quota != null) {
--- a/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * Finds a smaller list of faults that still violates what the whole list violated: first fewer faults, by delta
- * debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002), then shorter ones, then
- * fewer targets of each. As a run of processes is not determined by its faults alone, each list is run several times,
- * and one violation is enough.
+ * Finds a smaller list of faults that still violates an invariant: first fewer faults, by delta debugging (Zeller and
+ * Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002), then shorter ones, then fewer targets of
+ * each. As the outcome of a run is not determined by its faults alone, each list is run several times, and one
+ * violation is enough.
  */
 public final class Shrinker {
     /** One run of a list of faults. */
@@ -24,10 +24,10 @@
     private int runsLeft;
 
     /**
-     * Makes one; an IllegalArgumentException says which number is below 1.
+     * Makes a shrinker; throws an IllegalArgumentException if a number is below 1.
      *
-     * @param attempts runs of each list before it counts as harmless
-     * @param maxRuns runs in all; the smallest list found by then is the result
+     * @param attempts number of runs of each list without a violation before it counts as harmless
+     * @param maxRuns limit on the total number of runs; the smallest list found by then is the result
      */
     public Shrinker(Trial trial, int attempts, int maxRuns) {
         if (attempts < 1 || maxRuns < 1) {
@@ -38,7 +38,7 @@
         runsLeft = maxRuns;
     }
 
-    /** The smaller list; null if the whole list violates nothing either. */
+    /** Returns the smaller list; null if not even the whole list violates an invariant. */
     public List<Fault> shrink(List<Fault> all) throws Exception {
         if (!violates(all)) {
             return null;
@@ -73,7 +73,10 @@
         return best;
     }
 
-    /** The first list without one of so many parts that still violates; null if none does. */
+    /**
+     * Splits the list into this many parts and returns the first list without one of them that still violates an
+     * invariant; null if none does.
+     */
     private List<Fault> removePart(List<Fault> faults, int partCount) throws Exception {
         int partSize = (faults.size() + partCount - 1) / partCount;
         for (int from = 0; from < faults.size(); from += partSize) {
--- a/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
@@ -15,7 +15,7 @@
  *
  * <p>An expression is a list of terms with commas between them: a name ({@code p3}, {@code n12}, {@code discovery}); a
  * range ({@code p1-p5}); {@code proxies}, {@code nodes} or {@code all}; the proxies or servers of a zone
- * ({@code zone:a}, {@code nodes:a}); or a random choice among a term, by number or by share ({@code 3 of proxies},
+ * ({@code zone:a}, {@code nodes:a}); or a random choice from a term, by number or by share ({@code 3 of proxies},
  * {@code 0.1 of zone:a}).
  */
 public final class TargetSelector {
@@ -29,7 +29,7 @@
     private final List<String> zones;
 
     /**
-     * Makes one; an IllegalArgumentException says what is missing.
+     * Makes a selector; throws an IllegalArgumentException if there are no proxies, servers or zones.
      *
      * @param zones assigned to proxies and servers in turn
      */
