--- a/src/main/java/cacheproxy/faulttest/DatagramRelay.java
+++ b/src/main/java/cacheproxy/faulttest/DatagramRelay.java
@@ -66,7 +66,7 @@
             broadcastSocket = bind(space.broadcastAddress(), BROADCAST);
         } catch (Exception e) {
             close();
-            throw new IOException("relay: " + e.getMessage(), e);
+            throw new IOException("relay: can't bind its datagram sockets: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/cacheproxy/faulttest/FaultInjector.java
+++ b/src/main/java/cacheproxy/faulttest/FaultInjector.java
@@ -35,7 +35,7 @@
     private final History history;
     private final UnaryOperator<String> leaseHolders;
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread injector = new Thread(task, "director");
+        Thread injector = new Thread(task, "fault injector");
         injector.setDaemon(true);
         return injector;
     });
@@ -177,7 +177,7 @@
             case SERVER_STALL -> schedule(atMs, () -> fakes.stall(index - endpoints.proxies(), durationMs));
             case SERVER_KILL -> scheduleAtServer(index, atMs, endMs, fakes::kill, fakes::restart);
             case SERVER_DRAIN -> scheduleAtServer(index, atMs, endMs, fakes::beginDrain, fakes::endDrain);
-            default -> throw new IllegalArgumentException(fault.kind() + " befalls no process");
+            default -> throw new IllegalArgumentException(fault.kind() + " does not hit a single process");
         }
     }
 
@@ -231,13 +231,13 @@
                             .get()
                     > 0) {
                 if (System.nanoTime() > untilNanos) {
-                    throw new IOException(restartingCount + " proxies were not back " + (int) (maxMs / 1000)
-                            + " s after the load's end");
+                    throw new IOException(restartingCount + " proxies were not ready again " + (int) (maxMs / 1000)
+                            + " s after the end of the load");
                 }
             }
             List<String> failed = thread.submit(() -> List.copyOf(failures)).get();
             if (!failed.isEmpty()) {
-                throw new IOException("a fault failed: " + failed.get(0));
+                throw new IOException("a step of a fault failed: " + failed.get(0));
             }
         } catch (ExecutionException e) {
             throw new IOException(e);
--- a/src/main/java/cacheproxy/faulttest/History.java
+++ b/src/main/java/cacheproxy/faulttest/History.java
@@ -172,7 +172,7 @@
             }
         }
         if (scenario == null) {
-            throw ConfigException.of(List.of(file + ":1:1: no scenario in it; is it a history?"));
+            throw ConfigException.of(List.of(file + ":1:1: no scenario found; is this a history file?"));
         }
         return new RunHistory(scenario, events);
     }
@@ -181,7 +181,7 @@
         try {
             return fromJson(line);
         } catch (IOException | IllegalStateException | NumberFormatException e) {
-            throw ConfigException.of(List.of(place + ": no event: " + e.getMessage()));
+            throw ConfigException.of(List.of(place + ": not a valid event: " + e.getMessage()));
         }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/ProcessSignals.java
+++ b/src/main/java/cacheproxy/faulttest/ProcessSignals.java
@@ -20,16 +20,16 @@
     }
 
     private static final String SCRIPT = """
-            held=' '
+            paused=' '
             while read signal pid; do
               kill -$signal $pid 2>/dev/null
               case $signal in
-                STOP) held="$held$pid " ;;
-                CONT) case "$held" in *" $pid "*) held="${held%%" $pid "*} ${held#*" $pid "}" ;; esac ;;
+                STOP) paused="$paused$pid " ;;
+                CONT) case "$paused" in *" $pid "*) paused="${paused%%" $pid "*} ${paused#*" $pid "}" ;; esac ;;
               esac
               echo done
             done
-            for pid in $held; do kill -CONT $pid 2>/dev/null; done
+            for pid in $paused; do kill -CONT $pid 2>/dev/null; done
             """;
 
     private final Process shell;
--- a/src/main/java/cacheproxy/faulttest/ProxyProcess.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcess.java
@@ -216,7 +216,7 @@
     /** Waits until the process that {@link #end} signalled has exited and its exit is in the history. */
     void awaitExit() throws IOException, InterruptedException {
         if (!process.waitFor(MAX_EXIT_SECONDS, TimeUnit.SECONDS)) {
-            throw new IOException(name + " had not ended 20 s after it was told to");
+            throw new IOException(name + " did not exit within 20 s after the signal");
         }
         // Otherwise its exit could be recorded after the next start, as if the new process had exited.
         logReader.join(MAX_LOG_READ_MS);
--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -55,7 +55,7 @@
     private static Scenario readScenario(String name, TomlTableReader root, Long givenSeed) {
         TomlTableReader fleet = root.table("fleet");
         if (fleet == null) {
-            root.error("fleet", "no [fleet]; write one with proxies and nodes");
+            root.error("fleet", "there is no table [fleet]; add one with proxies and nodes");
             return null;
         }
         Scenario scenario = readFleet(name, root, fleet, givenSeed);
@@ -96,7 +96,7 @@
     private static List<String> readZones(TomlTableReader fleet) {
         List<String> zones = fleet.has("zones") ? fleet.texts("zones") : List.of("a");
         if (zones.isEmpty() || zones.stream().anyMatch(zone -> !zone.matches(ZONE_NAME))) {
-            fleet.error("zones", "zones are words of a-z and 0-9, at least one");
+            fleet.error("zones", "zones must list at least one name, each of 1 to 16 characters a-z and 0-9");
             return List.of("a");
         }
         return zones;
@@ -112,7 +112,7 @@
                 table.integer("at_once", 0, 1, 1_000_000),
                 table.number("saved", 0, 0, 1e7));
         if (quota.perSecond() > 0 == quota.maxInFlight() > 0) {
-            table.error("kind", "a limit has either per_second or at_once");
+            table.error("kind", "a limit needs exactly one of per_second and at_once");
         }
         table.rejectUnknownKeys();
         return quota;
@@ -160,8 +160,7 @@
         char targetLetter = fault.hitsServers() ? 'n' : 'p';
         if (!fault.hitsLinks() && fault.targets().stream().anyMatch(name -> name.charAt(0) != targetLetter)) {
             table.error(
-                    "who",
-                    fault.kind().tomlName() + " befalls " + (fault.hitsServers() ? "nodes" : "proxies") + " alone");
+                    "who", fault.kind().tomlName() + " can hit only " + (fault.hitsServers() ? "nodes" : "proxies"));
         }
         int times = table.integer("times", 1, 1, MAX_FAULTS);
         double periodMs = table.number("every_ms", 10_000, 1, HOUR_MS);
--- a/src/main/java/cacheproxy/faulttest/scenario/Fault.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Fault.java
@@ -139,8 +139,8 @@
                     || !isShare(corruptShare)
                     || !(delayMs >= 0)
                     || !(jitterMs >= 0)) {
-                throw new IllegalArgumentException("link " + lossShare + ", " + delayMs + ", " + jitterMs + ", "
-                        + duplicateShare + ", " + corruptShare);
+                throw new IllegalArgumentException("link fault out of range: " + lossShare + ", " + delayMs + ", "
+                        + jitterMs + ", " + duplicateShare + ", " + corruptShare);
             }
         }
 
--- a/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
@@ -31,7 +31,8 @@
      */
     public Shrinker(Trial trial, int attempts, int maxRuns) {
         if (attempts < 1 || maxRuns < 1) {
-            throw new IllegalArgumentException("tries " + attempts + ", runs " + maxRuns);
+            throw new IllegalArgumentException(
+                    "tries and runs must be at least 1: tries " + attempts + ", runs " + maxRuns);
         }
         this.trial = trial;
         this.attempts = attempts;
--- a/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
@@ -35,7 +35,8 @@
      */
     public TargetSelector(int proxies, int servers, List<String> zones) {
         if (proxies < 1 || servers < 1 || zones.isEmpty()) {
-            throw new IllegalArgumentException("proxies " + proxies + ", nodes " + servers + ", zones " + zones);
+            throw new IllegalArgumentException("there must be proxies, nodes and zones: proxies " + proxies + ", nodes "
+                    + servers + ", zones " + zones);
         }
         this.proxies = proxies;
         this.servers = servers;
@@ -154,10 +155,10 @@
         try {
             countOrShare = Double.parseDouble(term.substring(0, split).trim());
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'" + term + "': a number is wanted before 'of'");
+            throw new IllegalArgumentException("'" + term + "': expected a number before 'of'");
         }
         if (!(countOrShare > 0)) {
-            throw new IllegalArgumentException("'" + term + "': more than 0 is wanted before 'of'");
+            throw new IllegalArgumentException("'" + term + "': the number before 'of' must be above 0");
         }
         double count = countOrShare < 1 ? Math.max(1, Math.round(countOrShare * candidates.size())) : countOrShare;
         int limit = (int) Math.min(candidates.size(), count);
@@ -172,7 +173,7 @@
         int from = indexOf(term.substring(0, term.indexOf('-')));
         int to = indexOf(term.substring(term.indexOf('-') + 1));
         if (from > to || from < proxies != to < proxies || to == discoveryIndex()) {
-            throw new IllegalArgumentException("'" + term + "' is no range of proxies or of nodes");
+            throw new IllegalArgumentException("'" + term + "' is not a range of proxies or of nodes");
         }
         return IntStream.rangeClosed(from, to).mapToObj(this::nameOf).toList();
     }
@@ -180,7 +181,8 @@
     private int zoneIndex(String term) {
         int zone = zones.indexOf(term.substring(term.indexOf(':') + 1));
         if (zone < 0) {
-            throw new IllegalArgumentException("'" + term + "': there are the zones " + String.join(", ", zones));
+            throw new IllegalArgumentException(
+                    "'" + term + "': there is no such zone; there are " + String.join(", ", zones));
         }
         return zone;
     }
