--- a/src/test/java/cacheproxy/faulttest/CheckersTest.java
+++ b/src/test/java/cacheproxy/faulttest/CheckersTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each checker accepts a valid history, finds the violation that is planted in it, and excuses what it must. */
+/** Each checker accepts a valid history, finds a violation that is added to it, and excuses what faults explain. */
 class CheckersTest {
     private final HistoryFixture history = new HistoryFixture();
 
@@ -26,7 +26,7 @@
         assertThat(history.violations(new SingleResponseChecker()).judged()).isEqualTo(300);
         assertThat(history.violations(new AtMostOnceChecker()).judged()).isEqualTo(30);
         assertThat(Verdict.of(history.run(), List.of("slow"), Checker.all()).passed())
-                .as("in doubt")
+                .as("a run that is not valid")
                 .isFalse();
         ServiceStats stats = ServiceStats.of(history.run(), 0, 1e9);
         assertThat(stats.requests()).isEqualTo(300);
@@ -86,8 +86,8 @@
 
     @Test
     void findsMoreCommandsThanColdServerCanTake() throws Exception {
-        // 10 a second when warm, 3 a second when it has just started: 4.5 in the fall time, so 13 are too much and 12
-        // not.
+        // The capacity is 10 commands a second when warm and 3 a second just after the start, so 4.5 in a window of 1.5
+        // s. The limit is 3 times that, 13.5 commands: 13 are allowed and 14 are a violation.
         history.at(1000, "n1", Event.SERVER_STARTED, "", "", 0);
         for (int i = 0; i < 13; i++) {
             history.at(1010 + i, "n1", Event.COMMAND_ARRIVED, "r" + i, "", 0);
@@ -101,7 +101,9 @@
                 .asString()
                 .contains("n1 was sent 14 commands");
         history.events.removeIf(event -> event.type().equals(Event.SERVER_STARTED));
-        assertThat(history.violations(checker).judged()).as("a warm node's").isZero();
+        assertThat(history.violations(checker).judged())
+                .as("commands to a warm server")
+                .isZero();
     }
 
     @Test
--- a/src/test/java/cacheproxy/faulttest/FleetIT.java
+++ b/src/test/java/cacheproxy/faulttest/FleetIT.java
@@ -27,7 +27,7 @@
 /** Several processes of the packaged program with faults between them. */
 @Timeout(180)
 class FleetIT {
-    /** One fault of each kind; the program is filled in. */
+    /** A scenario with faults of each kind; the program is a format argument. */
     private static final String EVERY_FAULT = """
             [fleet]
             program = "%s"
@@ -121,9 +121,9 @@
         assertThat(run.events().stream()
                         .filter(event -> event.type().equals(Event.PROCESS_READY))
                         .count())
-                .as("four, and two again")
+                .as("four starts and two restarts")
                 .isEqualTo(6);
-        assertThat(run.pausedUs("p1", 0, run.endUs())).as("it stood still").isPositive();
+        assertThat(run.pausedUs("p1", 0, run.endUs())).as("p1 was paused").isPositive();
         assertThat(run.events())
                 .anyMatch(event -> event.type().equals(Event.PROCESS_EXITED)
                         && event.endpoint().equals("p3")
@@ -131,9 +131,9 @@
         assertPlantedViolationsAreFound(run);
     }
 
-    /** Faults put into the history of a real run are found in it. */
+    /** Asserts that violations added to the history of a real run are found. */
     private static void assertPlantedViolationsAreFound(RunHistory run) {
-        // p4 neither stands still nor ends, so nothing of it is excused.
+        // p4 has neither a long pause nor an exit, so none of its requests is excused.
         Event served = first(
                 run,
                 event -> event.is(Event.RESPONSE_RECEIVED, "served")
@@ -141,10 +141,10 @@
         assertThat(new SingleResponseChecker()
                         .check(withEvents(run, copyOf(served, served.timeUs() + 1000, served.endpoint())))
                         .count())
-                .as("twice")
+                .as("duplicate response")
                 .isEqualTo(1);
         assertThat(new SingleResponseChecker().check(withoutEvent(run, served)).count())
-                .as("never")
+                .as("missing response")
                 .isEqualTo(1);
         Event effect = first(run, event -> event.is(Event.WRITE_APPLIED));
         assertThat(new AtMostOnceChecker()
@@ -168,7 +168,7 @@
         assertThat(new DrainChecker()
                         .check(withEvents(run, copyOf(command, command.timeUs(), drain.endpoint())))
                         .count())
-                .as("p4, to a draining node")
+                .as("command of p4 to a draining server")
                 .isGreaterThan(0);
         Event[] flood = new Event[400];
         for (int i = 0; i < flood.length; i++) {
@@ -197,7 +197,7 @@
         return new RunHistory(run.scenario(), events);
     }
 
-    /** The rig killed in the midst of it, with one child standing still: nobody is left. */
+    /** If the runner is killed during a run, all its child processes exit, including a paused one. */
     @Test
     void leavesNoChildProcessWhenRunnerIsKilled() throws Exception {
         Path scenario = folder.resolve("s.toml");
--- a/src/test/java/cacheproxy/faulttest/KnownStateIT.java
+++ b/src/test/java/cacheproxy/faulttest/KnownStateIT.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What processes know of the fleet when discovery's word is lost: connections stay open and silent, and nothing else is
- * wrong.
+ * What processes know of the fleet when notifications of discovery are lost: connections stay open without transferring
+ * anything, and there is no other fault.
  */
 @Timeout(180)
 class KnownStateIT {
@@ -19,9 +19,9 @@
     private Path folder;
 
     /**
-     * Every watch loses the word of both drains, so that no proxy has a version to tell the others; nodes stay up, so
-     * that none refuses. One proxy stands still meanwhile. One is killed only at the end: as it starts it asks, and
-     * tells the others.
+     * Every watch loses the notifications of both drains, so that no proxy has a newer version to report to the others;
+     * servers stay up, so that none rejects requests. One proxy is paused meanwhile. One proxy is killed, but only at
+     * the end, as it calls discovery when it starts and reports the result to the others.
      */
     @Test
     void keepsDrainsThatOpenWatchesDidNotReport() throws Exception {
@@ -33,7 +33,7 @@
                         + fault("kill", 13_000, 300, "p3", ""),
                 folder);
         assertThat(outcome.verdict().violationsByChecker().get("drains-kept").judged())
-                .as("sends to draining nodes that were looked at")
+                .as("commands to draining servers that were judged")
                 .isPositive();
         long activeServers = outcome.run().events().stream()
                 .filter(event -> event.type().equals(Event.COMMAND_ARRIVED)
@@ -43,7 +43,7 @@
                 .distinct()
                 .count();
         assertThat(activeServers)
-                .as("nodes that are sent to in the end: those that do not drain")
+                .as("servers that get requests near the end: those that are not draining")
                 .isEqualTo(3);
     }
 }
--- a/src/test/java/cacheproxy/faulttest/LeaseCheckersTest.java
+++ b/src/test/java/cacheproxy/faulttest/LeaseCheckersTest.java
@@ -10,7 +10,7 @@
 import cacheproxy.faulttest.scenario.Scenario;
 import org.junit.jupiter.api.Test;
 
-/** The checkers of mutual exclusion and fencing, and the figures about leases. */
+/** The checkers of mutual exclusion and fencing, and the lease statistics. */
 class LeaseCheckersTest {
     private final HistoryFixture history = new HistoryFixture();
 
@@ -19,7 +19,7 @@
         history.at(1000, "p1", Event.LEASE_POLLED, "d", "yes", 5)
                 .at(1500, "p1", Event.LEASE_POLLED, "d", "no", 0)
                 .at(2000, "p2", Event.LEASE_POLLED, "d", "yes", 6);
-        // Asked at 1900, answered at 2100: it may have been before the other's.
+        // Polled at 1900 ms with the response at 2100 ms: p1 can have held the lease before p2 did.
         history.events.add(new Event(2_100_000, 200_000, "p1", Event.LEASE_POLLED, "d", "yes", 5));
         assertThat(history.violations(new MutualExclusionChecker()).messages()).isEmpty();
         assertThat(LeaseStats.gapsWithoutHolder(history.run(), "d", 600, 0, 3000))
@@ -46,7 +46,8 @@
         assertThat(history.violations(new FencingChecker()).messages()).isEmpty();
         assertThat(history.violations(new FencingChecker()).judged()).isEqualTo(3);
         assertThat(LeaseStats.countRejectedActions(history.run())).isEqualTo(1);
-        history.at(1800, "p1", Event.LEADER_ACTION, "d", "accepted", 5); // as a store without a guard would
+        // A store that does not check fencing tokens would accept this action.
+        history.at(1800, "p1", Event.LEADER_ACTION, "d", "accepted", 5);
         assertThat(history.violations(new FencingChecker()).messages())
                 .singleElement()
                 .asString()
--- a/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What processes do under the program's own duties: trials of sick nodes and the watch of discovery, made by one for
- * all.
+ * What processes do under the program's own leases: health checks of failed servers and the discovery watch, which one
+ * proxy does for all.
  */
 @Timeout(180)
 class LeaseUsersIT {
@@ -44,7 +44,10 @@
         return outcome;
     }
 
-    /** A proxy that is told nothing any more: whatever it does not know of the nodes shows by its own requests. */
+    /**
+     * Counts the requests that a proxy served after a time. A proxy that is cut off from the others gets no reports
+     * from them; what it does not know about the servers shows in its own requests.
+     */
     private static long countServed(FaultTestRunner.Outcome outcome, String proxy, double fromMs) {
         return outcome.run().events().stream()
                 .filter(event -> event.type().equals(Event.RESPONSE_RECEIVED)
@@ -68,7 +71,7 @@
         assertThat(outcome.verdict().violationsByChecker().get("acts-in-order").judged())
                 .isGreaterThan(20);
         assertThat(outcome.measurements().healthChecks())
-                .as("tests came at all; how many are saved is measured, not tested here")
+                .as("health checks were sent; how many are saved is measured, not asserted here")
                 .isPositive();
         for (int proxy = 1; proxy <= 5; proxy++) {
             assertThat(countServed(outcome, "p" + proxy, 11_500))
@@ -77,7 +80,10 @@
         }
     }
 
-    /** Where nodes take no tests one proxy's clients find out for all, and whoever is cut off finds out by its own. */
+    /**
+     * If servers accept no health checks, the client requests of one proxy detect failed servers for all proxies, and a
+     * proxy that is cut off detects them with its own.
+     */
     @Test
     void checksHealthByClientRequestsWhereServersTakeNoHealthChecks() throws Exception {
         FaultTestRunner.Outcome outcome = play(
@@ -90,7 +96,7 @@
                         + fault("kill", 3000, 500, "p1", "")
                         + fault("stop", 4000, 1500, "p2", ""));
         assertThat(outcome.measurements().healthChecks())
-                .as("empty commands at nodes")
+                .as("no-op commands at servers")
                 .isZero();
         for (int proxy = 1; proxy <= 5; proxy++) {
             String server = "n" + Math.min(proxy, 4);
@@ -106,8 +112,8 @@
     }
 
     /**
-     * The holder of each share is stopped, killed, ended in turn while nodes are sick; nobody's test is left without an
-     * end.
+     * Each proxy, and so the lease holder of each share, is paused or killed in turn while servers are stalled; no
+     * server's health check is left unfinished.
      */
     @Test
     void returnsServersToServiceThoughHealthCheckersEnd() throws Exception {
@@ -122,7 +128,7 @@
                 .map(Event::endpoint)
                 .distinct()
                 .count();
-        assertThat(activeServers).as("all nodes get requests again").isEqualTo(4);
+        assertThat(activeServers).as("all servers get requests again").isEqualTo(4);
     }
 
     @Test
@@ -143,7 +149,7 @@
         assertThat(outcome.verdict().violationsByChecker().get("one-holder").judged())
                 .isGreaterThan(20);
         assertThat(outcome.measurements().waitingWatches())
-                .as("calls that wait at discovery once all is calm")
+                .as("watches that wait at discovery after all faults")
                 .isLessThan(5);
     }
 }
--- a/src/test/java/cacheproxy/faulttest/LeasesIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeasesIT.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Duties of several processes of the daemon: stops, cuts, splits, losses, restarts, hand-overs. */
+/** Leases of several processes of the daemon under pauses, cuts, partitions, losses, restarts and handovers. */
 @Timeout(180)
 class LeasesIT {
     static final String LEASE_SCENARIO_LINES = """
@@ -44,7 +44,8 @@
     }
 
     /**
-     * Whether somebody held it after a time; how soon is measured, not tested: walks on virtual time hold the bound.
+     * Returns whether a proxy held the lease after a time. How soon is measured, not asserted here; the simulation
+     * tests on virtual time check that bound.
      */
     private static boolean wasHeldAfter(RunHistory run, double ms) {
         return run.events().stream()
@@ -71,8 +72,8 @@
 
     @Test
     void handsOverLeaseAtGracefulShutdown() throws Exception {
-        // Each proxy is ended in turn, so the holder is, whoever it is; all are back and have their word again before
-        // the next.
+        // Each proxy is terminated in turn, so the holder is among them. Before the next one is terminated, all proxies
+        // are ready and vote again.
         FaultTestRunner.Outcome outcome = play(
                 3,
                 11.5,
@@ -112,7 +113,8 @@
     void keepsOneHolderThroughThreeWaySplitHeavyLossLateDuplicatesAndFlappingVoter() throws Exception {
         StringBuilder restarts = new StringBuilder();
         for (int at = 9000; at < 13_000; at += 1000) {
-            restarts.append(fault("kill", at, 100, "p2", "")); // back and gone again before its silence is over
+            // Killed again before its silent period after the restart is over.
+            restarts.append(fault("kill", at, 100, "p2", ""));
         }
         FaultTestRunner.Outcome outcome = play(
                 5,
@@ -141,8 +143,8 @@
     }
 
     /**
-     * p1 has an older release's file, without what is new, and a list that lacks a peer; each side of the split has its
-     * own discovery.
+     * p1 has the configuration of an older release, without the new sections and with a peer list that lacks one peer;
+     * each side of the partition has its own discovery.
      */
     @Test
     void keepsOneHolderAndReportsOldReleaseDifferentPeerListsSplitAndHolderWithoutServers() throws Exception {
@@ -177,7 +179,7 @@
         assertThat(logLinesContaining(outcome.run(), "fleet: p1 goes by another list of peers"))
                 .isNotEmpty();
         assertThat(logLinesContaining(outcome.run(), "why=it reaches no server, and others do"))
-                .as("the holder, which has peers and no nodes")
+                .as("the holder, which reaches peers and no servers")
                 .isNotEmpty();
     }
 }
--- a/src/test/java/cacheproxy/faulttest/QuotaCheckerTest.java
+++ b/src/test/java/cacheproxy/faulttest/QuotaCheckerTest.java
@@ -19,14 +19,16 @@
                         history.events));
     }
 
-    /** 27 reads a second, one at a time; then 40 more within 40 ms, of which 10 come a second time to another node. */
+    /**
+     * 27 reads a second, one at a time; then 40 more within 40 ms, of which 10 arrive a second time at another server.
+     */
     @Test
     void findsExceededRateAndCountsRetriedRequestOnce() throws Exception {
         history.addValidRequests();
         assertThat(quotaViolations("per_second = 30\nsaved = 2").count()).isZero();
         assertThat(quotaViolations("per_second = 30\nsaved = 2").judged()).isEqualTo(270);
         assertThat(quotaViolations("per_second = 20\nsaved = 2").count())
-                .as("over ten seconds")
+                .as("window of 10 s")
                 .isPositive();
         for (int i = 0; i < 40; i++) {
             history.at(5000 + i, "p1", Event.REQUEST_SENT, "b" + i, "read", 1000)
@@ -36,14 +38,14 @@
         }
         assertThat(quotaViolations("per_second = 30\nsaved = 45").count()).isZero();
         assertThat(quotaViolations("per_second = 30\nsaved = 30").count())
-                .as("in 100 ms and in a second")
+                .as("windows of 100 ms and of 1 s")
                 .isEqualTo(2);
         assertThat(quotaViolations("kind = \"keyed\"\nper_second = 30").count())
-                .as("another kind")
+                .as("quota for another kind of request")
                 .isZero();
     }
 
-    /** What the rig noticed late may have come earlier: it says nothing of a short window. */
+    /** An arrival that was noticed late can have happened earlier, so it must not count in a short window. */
     @Test
     void doesNotCountArrivalsThatMayBeOlderThanTheWindow() throws Exception {
         for (int i = 0; i < 40; i++) {
@@ -57,7 +59,7 @@
     void findsTooManyRequestsInFlight() throws Exception {
         history.addValidRequests();
         assertThat(quotaViolations("at_once = 1").count())
-                .as("each is over 5 ms after it began, which may be the answer's way")
+                .as("each request takes 5 ms, all of which can be the transit time of the response")
                 .isZero();
         for (int i = 0; i < 4; i++) {
             history.at(5000 + i, "p1", Event.REQUEST_SENT, "h" + i, "read", 1000)
--- a/src/test/java/cacheproxy/faulttest/QuotasIT.java
+++ b/src/test/java/cacheproxy/faulttest/QuotasIT.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A limit of the whole fleet, shared by processes of the daemon and judged at the nodes: kills, stops, cuts, splits,
- * losses, all load at one.
+ * A fleet-wide quota, shared by processes of the daemon and checked at the servers, under kills, pauses, cuts,
+ * partitions, losses and load that is concentrated at one proxy.
  */
 @Timeout(180)
 class QuotasIT {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * The dealer is killed and stopped, proxies are cut off, the fleet is split, datagrams are lost, doubled, late,
-     * while load moves from one to the next.
+     * The allocator is killed and paused, proxies are cut off, the fleet is partitioned, and datagrams are lost,
+     * duplicated and delayed, while the load moves from one proxy to the next.
      */
     @Test
     void keepsRateThroughFaultsOfAllocatorsAndLinks() throws Exception {
@@ -55,14 +55,15 @@
                                 "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\ndelay_ms = 50\njitter_ms = 400")
                         + fault("term", 13_000, 300, "p2", ""));
         assertThat(outcome.run().events())
-                .as("who is cut off and has load says that it is alone")
+                .as("a proxy that is cut off and has load logs that it is alone")
                 .anyMatch(event ->
                         event.type().equals(Event.LOG_LINE) && event.detail().contains("limit reads alone"));
         assertThat(outcome.serviceStats().rejected()).isPositive();
     }
 
     /**
-     * What is dealt out by the holder alone: who is cut off refuses, and nothing is over when another holds the duty.
+     * Only the lease holder allocates quota: a proxy that is cut off rejects requests, and the quota is not exceeded
+     * when another proxy holds the lease.
      */
     @Test
     void keepsRateWithoutStaticSharesWhenAllocatorsChange() throws Exception {
--- a/src/test/java/cacheproxy/faulttest/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -31,7 +31,7 @@
 /** The relays of datagrams and connections over faulty links. */
 @Timeout(60)
 class RelayTest {
-    /** A test that waits in vain fails; JUnit's limit does not end a blocked read. */
+    /** Makes a read without data fail, as JUnit's time limit does not end a blocked read. */
     private static final int READ_TIMEOUT_MS = 20_000;
 
     private final TargetSelector endpoints = new TargetSelector(3, 1, List.of("a"));
@@ -102,7 +102,9 @@
             assertThat(text(receive(first))).isEqualTo("the other way");
             runOnLoop(() -> links.end(oneWay));
             send(first, space.relayAddress(1, AddressSpace.PEER_PORT), "healed");
-            assertThat(text(receive(second))).as("what was cut is lost").isEqualTo("healed");
+            assertThat(text(receive(second)))
+                    .as("the datagram sent during the cut is lost")
+                    .isEqualTo("healed");
 
             runOnLoop(
                     () -> links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFault(0, 10, 0, 1, 1, false))));
--- a/src/test/java/cacheproxy/faulttest/ScenarioTest.java
+++ b/src/test/java/cacheproxy/faulttest/ScenarioTest.java
@@ -78,7 +78,7 @@
         assertThat(links.deliveries(0, 2, random)).hasSize(2).allMatch(delivery -> delivery.delayMs() == 50);
         links.begin(cut);
         assertThat(links.deliveries(0, 1, random)).isEmpty();
-        assertThat(links.deliveries(1, 0, random)).as("the other way").hasSize(2);
+        assertThat(links.deliveries(1, 0, random)).as("the opposite direction").hasSize(2);
         assertThat(links.blocksConnections(0, 1)).isTrue();
         assertThat(links.blocksConnections(1, 0)).isFalse();
         links.end(cut);
@@ -145,7 +145,7 @@
                 """, 42L);
         assertThat(scenario.faults()).hasSize(22);
         assertThat(scenario.faults().get(0).linkPeers())
-                .as("the others")
+                .as("all proxies that are not targets")
                 .hasSize(4)
                 .doesNotContainAnyElementsOf(scenario.faults().get(0).targets());
         assertThat(ScenarioReader.parse("s", scenario.toToml(), null)).isEqualTo(scenario);
--- a/src/test/java/cacheproxy/faulttest/ScenariosGoldenTextTest.java
+++ b/src/test/java/cacheproxy/faulttest/ScenariosGoldenTextTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Each scenario of deploy loads to the same values, draws by its seed included, and is written out as the same text.
+ * Each scenario in deploy/scenarios loads to the same values, including those drawn from its seed, and is written out
+ * as the same text.
  */
 class ScenariosGoldenTextTest {
     private static final Path SCENARIOS = Path.of("deploy/scenarios");
--- a/src/test/java/cacheproxy/faulttest/SingleResponseCheckerTest.java
+++ b/src/test/java/cacheproxy/faulttest/SingleResponseCheckerTest.java
@@ -49,7 +49,7 @@
                 .at(9000, "p2", Event.PROCESS_RESUMED, "", "", 0)
                 .at(9005, "p2", Event.RESPONSE_RECEIVED, "stopped", "failed", 0);
         assertThat(history.violations(new SingleResponseChecker()).messages()).isEmpty();
-        // The other proxy was neither.
+        // p3 was neither killed nor paused.
         history.at(5010, "p3", Event.REQUEST_SENT, "other", "read", 1000)
                 .at(9005, "p3", Event.RESPONSE_RECEIVED, "other", "failed", 0);
         assertThat(history.violations(new SingleResponseChecker()).messages())
