--- a/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
+++ b/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
@@ -31,8 +31,8 @@
     }
 
     /** A fault's table in a scenario, with additional lines. */
-    static String fault(String kind, int atMs, int durationMs, String targets, String moreLines) {
+    static String fault(String kind, int atMs, int durationMs, String targets, String additionalLines) {
         return "[[fault]]\nkind = \"" + kind + "\"\nat_ms = " + atMs + "\nfor_ms = " + durationMs + "\nwho = \""
-                + targets + "\"\n" + moreLines + "\n";
+                + targets + "\"\n" + additionalLines + "\n";
     }
 }
--- a/src/test/java/cacheproxy/faulttest/FleetIT.java
+++ b/src/test/java/cacheproxy/faulttest/FleetIT.java
@@ -170,11 +170,12 @@
                         .count())
                 .as("command of p4 to a draining server")
                 .isGreaterThan(0);
-        Event[] flood = new Event[400];
-        for (int i = 0; i < flood.length; i++) {
-            flood[i] = copyOf(command, serverStart.timeUs() + 1000 + i, serverStart.endpoint());
+        Event[] excessCommands = new Event[400];
+        for (int i = 0; i < excessCommands.length; i++) {
+            excessCommands[i] = copyOf(command, serverStart.timeUs() + 1000 + i, serverStart.endpoint());
         }
-        assertThat(new SlowStartChecker().check(withEvents(run, flood)).count()).isEqualTo(1);
+        assertThat(new SlowStartChecker().check(withEvents(run, excessCommands)).count())
+                .isEqualTo(1);
     }
 
     private static Event first(RunHistory run, Predicate<Event> condition) {
--- a/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
@@ -35,10 +35,10 @@
     @TempDir
     private Path folder;
 
-    private FaultTestRunner.Outcome play(String sections, String duties, double seconds, String faults)
+    private FaultTestRunner.Outcome play(String sections, String leases, double seconds, String faults)
             throws Exception {
         String scenario =
-                "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\n" + FLEET_CONFIG.formatted(sections, duties)
+                "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\n" + FLEET_CONFIG.formatted(sections, leases)
                         + "[load]\nseconds = " + seconds + "\nper_second = 200\n" + faults;
         FaultTestRunner.Outcome outcome = FaultTestRuns.playAndAssertInvariants(scenario, folder);
         return outcome;
--- a/src/test/java/cacheproxy/faulttest/QuotasIT.java
+++ b/src/test/java/cacheproxy/faulttest/QuotasIT.java
@@ -18,13 +18,13 @@
     @TempDir
     private Path folder;
 
-    private FaultTestRunner.Outcome play(String fleet, String limit, String load, String judged, String faults)
+    private FaultTestRunner.Outcome play(String fleet, String quota, String load, String checkedQuota, String faults)
             throws Exception {
         String scenario = "[fleet]\nprogram = \"run\"\nproxies = 4\nnodes = 3\n" + fleet
                 + "extra = '''\n[control]\nlisten = \"{control}\"\n"
                 + "[fleet]\nme = \"{me}\"\nlisten = \"{listen}\"\nlongest_lease_ms = 600\n{peers}\n[fleet.limits]\ngrant_ms = 600\nlease_ms = 600\nshares = 1\n"
-                + "[[fleet.limit]]\nname = \"reads\"\nclass = \"read\"\n" + limit + "'''\n[load]\n" + load + "[limit]\n"
-                + judged + faults;
+                + "[[fleet.limit]]\nname = \"reads\"\nclass = \"read\"\n" + quota + "'''\n[load]\n" + load + "[limit]\n"
+                + checkedQuota + faults;
         FaultTestRunner.Outcome outcome = FaultTestRuns.playAndAssertInvariants(scenario, folder);
         assertThat(outcome.verdict().violationsByChecker().get("limit-kept").judged())
                 .as(String.join("\n", outcome.lines()))
--- a/src/test/java/cacheproxy/faulttest/ScenarioTest.java
+++ b/src/test/java/cacheproxy/faulttest/ScenarioTest.java
@@ -70,8 +70,8 @@
         NetworkLinks links = new NetworkLinks(endpoints);
         assertThat(links.deliveries(0, 1, random)).containsExactly(new NetworkLinks.Delivery(0, false));
         Fault cut = link(1, 0, 0, false, List.of("p1"), List.of("p2"));
-        Fault late = link(0, 30, 1, true, List.of("p1"), List.of("p2", "p3"));
-        links.begin(late);
+        Fault delayed = link(0, 30, 1, true, List.of("p1"), List.of("p2", "p3"));
+        links.begin(delayed);
         assertThat(links.deliveries(1, 0, random))
                 .containsExactly(new NetworkLinks.Delivery(30, false), new NetworkLinks.Delivery(30, false));
         links.begin(link(0, 20, 0, true, List.of("p3"), List.of("p1")));
