--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -160,7 +160,8 @@
         char targetLetter = fault.hitsServers() ? 'n' : 'p';
         if (!fault.hitsLinks() && fault.targets().stream().anyMatch(name -> name.charAt(0) != targetLetter)) {
             table.error(
-                    "who", fault.kind().tomlName() + " can hit only " + (fault.hitsServers() ? "nodes" : "proxies"));
+                    "who",
+                    fault.kind().tomlName() + " can hit " + (fault.hitsServers() ? "nodes" : "proxies") + " only");
         }
         int times = table.integer("times", 1, 1, MAX_FAULTS);
         double periodMs = table.number("every_ms", 10_000, 1, HOUR_MS);
--- a/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
@@ -25,8 +25,8 @@
     public RandomFaults {
         kinds = List.copyOf(kinds);
         if (count < 0 || kinds.isEmpty() || !(toMs - fromMs >= maxDurationMs) || !(maxDurationMs > 0)) {
-            throw new IllegalArgumentException("random faults: count " + count + ", from " + fromMs + " to " + toMs
-                    + " ms, longest " + maxDurationMs + " ms don't fit together");
+            throw new IllegalArgumentException("random faults don't fit together (times in ms): count " + count
+                    + ", from " + fromMs + " to " + toMs + ", longest " + maxDurationMs);
         }
     }
 
--- a/src/test/java/cacheproxy/faulttest/ScenarioTest.java
+++ b/src/test/java/cacheproxy/faulttest/ScenarioTest.java
@@ -176,7 +176,7 @@
                                 .contains("s:2:1: proxies is 0")
                                 .contains("s:3:1: zones")
                                 .contains("s:5:1: there is no fault 'stpo'")
-                                .contains("s:9:1: node-kill can hit only nodes")
+                                .contains("s:9:1: node-kill can hit nodes only")
                                 .contains("s:10:1: unknown key 'colour'")
                                 .contains("s:13:1: there is no 'p77'")
                                 .contains("longest_ms"));
