--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -17,8 +17,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Reads a scenario's file, finds all errors in it, and makes the random draws that it asks for, so that each fault
- * names its targets.
+ * Reads a scenario file, reports all errors in it, and makes its random draws, so that each fault names its targets.
  */
 public final class ScenarioReader {
     private static final double HOUR_MS = 3_600_000;
@@ -31,7 +30,7 @@
     /**
      * Reads a scenario file.
      *
-     * @param seed replaces the file's seed; null: the file's
+     * @param seed replaces the file's seed; null keeps it
      * @throws ConfigException with all errors and their places
      */
     public static Scenario read(Path path, Long seed) throws ConfigException {
@@ -45,8 +44,8 @@
     /**
      * Reads a scenario from the text of its file.
      *
-     * @param name the scenario's name, which stands in errors as well
-     * @param seed replaces the text's seed; null: the text's
+     * @param name the scenario's name, which error messages contain as well
+     * @param seed replaces the text's seed; null keeps it
      * @throws ConfigException with all errors and their places
      */
     public static Scenario parse(String name, String text, Long seed) throws ConfigException {
@@ -56,7 +55,7 @@
     private static Scenario readScenario(String name, TomlTableReader root, Long givenSeed) {
         TomlTableReader fleet = root.table("fleet");
         if (fleet == null) {
-            root.error("fleet", "no [fleet]; write one with proxies and nodes");
+            root.error("fleet", "there is no table [fleet]; add one with proxies and nodes");
             return null;
         }
         Scenario scenario = readFleet(name, root, fleet, givenSeed);
@@ -97,7 +96,7 @@
     private static List<String> readZones(TomlTableReader fleet) {
         List<String> zones = fleet.has("zones") ? fleet.texts("zones") : List.of("a");
         if (zones.isEmpty() || zones.stream().anyMatch(zone -> !zone.matches(ZONE_NAME))) {
-            fleet.error("zones", "zones are words of a-z and 0-9, at least one");
+            fleet.error("zones", "zones must list at least one name, each of 1 to 16 characters a-z and 0-9");
             return List.of("a");
         }
         return zones;
@@ -113,7 +112,7 @@
                 table.integer("at_once", 0, 1, 1_000_000),
                 table.number("saved", 0, 0, 1e7));
         if (quota.perSecond() > 0 == quota.maxInFlight() > 0) {
-            table.error("kind", "a limit has either per_second or at_once");
+            table.error("kind", "a limit needs exactly one of per_second and at_once");
         }
         table.rejectUnknownKeys();
         return quota;
@@ -162,7 +161,7 @@
         if (!fault.hitsLinks() && fault.targets().stream().anyMatch(name -> name.charAt(0) != targetLetter)) {
             table.error(
                     "who",
-                    fault.kind().tomlName() + " befalls " + (fault.hitsServers() ? "nodes" : "proxies") + " alone");
+                    fault.kind().tomlName() + " can hit " + (fault.hitsServers() ? "nodes" : "proxies") + " only");
         }
         int times = table.integer("times", 1, 1, MAX_FAULTS);
         double periodMs = table.number("every_ms", 10_000, 1, HOUR_MS);
@@ -205,7 +204,7 @@
                 holderOf);
     }
 
-    /** The other ends of links; where the file does not say: all proxies that are no targets. */
+    /** The other ends of the links; by default all proxies that are not targets. */
     private static List<String> readLinkPeers(
             TomlTableReader table, List<String> targets, TargetSelector endpoints, SplittableRandom random) {
         if (table.has("to")) {
--- a/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
@@ -15,7 +15,7 @@
  *
  * <p>An expression is a list of terms with commas between them: a name ({@code p3}, {@code n12}, {@code discovery}); a
  * range ({@code p1-p5}); {@code proxies}, {@code nodes} or {@code all}; the proxies or servers of a zone
- * ({@code zone:a}, {@code nodes:a}); or a random choice among a term, by number or by share ({@code 3 of proxies},
+ * ({@code zone:a}, {@code nodes:a}); or a random choice from a term, by number or by share ({@code 3 of proxies},
  * {@code 0.1 of zone:a}).
  */
 public final class TargetSelector {
@@ -29,13 +29,14 @@
     private final List<String> zones;
 
     /**
-     * Makes one; an IllegalArgumentException says what is missing.
+     * Makes a selector; throws an IllegalArgumentException if there are no proxies, servers or zones.
      *
      * @param zones assigned to proxies and servers in turn
      */
     public TargetSelector(int proxies, int servers, List<String> zones) {
         if (proxies < 1 || servers < 1 || zones.isEmpty()) {
-            throw new IllegalArgumentException("proxies " + proxies + ", nodes " + servers + ", zones " + zones);
+            throw new IllegalArgumentException("there must be proxies, nodes and zones: proxies " + proxies + ", nodes "
+                    + servers + ", zones " + zones);
         }
         this.proxies = proxies;
         this.servers = servers;
@@ -154,10 +155,10 @@
         try {
             countOrShare = Double.parseDouble(term.substring(0, split).trim());
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'" + term + "': a number is wanted before 'of'");
+            throw new IllegalArgumentException("'" + term + "': expected a number before 'of'");
         }
         if (!(countOrShare > 0)) {
-            throw new IllegalArgumentException("'" + term + "': more than 0 is wanted before 'of'");
+            throw new IllegalArgumentException("'" + term + "': the number before 'of' must be above 0");
         }
         double count = countOrShare < 1 ? Math.max(1, Math.round(countOrShare * candidates.size())) : countOrShare;
         int limit = (int) Math.min(candidates.size(), count);
@@ -172,7 +173,7 @@
         int from = indexOf(term.substring(0, term.indexOf('-')));
         int to = indexOf(term.substring(term.indexOf('-') + 1));
         if (from > to || from < proxies != to < proxies || to == discoveryIndex()) {
-            throw new IllegalArgumentException("'" + term + "' is no range of proxies or of nodes");
+            throw new IllegalArgumentException("'" + term + "' is not a range of proxies or of nodes");
         }
         return IntStream.rangeClosed(from, to).mapToObj(this::nameOf).toList();
     }
@@ -180,7 +181,8 @@
     private int zoneIndex(String term) {
         int zone = zones.indexOf(term.substring(term.indexOf(':') + 1));
         if (zone < 0) {
-            throw new IllegalArgumentException("'" + term + "': there are the zones " + String.join(", ", zones));
+            throw new IllegalArgumentException(
+                    "'" + term + "': there is no such zone; there are " + String.join(", ", zones));
         }
         return zone;
     }
--- a/src/test/java/cacheproxy/faulttest/ScenarioTest.java
+++ b/src/test/java/cacheproxy/faulttest/ScenarioTest.java
@@ -70,15 +70,15 @@
         NetworkLinks links = new NetworkLinks(endpoints);
         assertThat(links.deliveries(0, 1, random)).containsExactly(new NetworkLinks.Delivery(0, false));
         Fault cut = link(1, 0, 0, false, List.of("p1"), List.of("p2"));
-        Fault late = link(0, 30, 1, true, List.of("p1"), List.of("p2", "p3"));
-        links.begin(late);
+        Fault delayed = link(0, 30, 1, true, List.of("p1"), List.of("p2", "p3"));
+        links.begin(delayed);
         assertThat(links.deliveries(1, 0, random))
                 .containsExactly(new NetworkLinks.Delivery(30, false), new NetworkLinks.Delivery(30, false));
         links.begin(link(0, 20, 0, true, List.of("p3"), List.of("p1")));
         assertThat(links.deliveries(0, 2, random)).hasSize(2).allMatch(delivery -> delivery.delayMs() == 50);
         links.begin(cut);
         assertThat(links.deliveries(0, 1, random)).isEmpty();
-        assertThat(links.deliveries(1, 0, random)).as("the other way").hasSize(2);
+        assertThat(links.deliveries(1, 0, random)).as("the opposite direction").hasSize(2);
         assertThat(links.blocksConnections(0, 1)).isTrue();
         assertThat(links.blocksConnections(1, 0)).isFalse();
         links.end(cut);
@@ -145,7 +145,7 @@
                 """, 42L);
         assertThat(scenario.faults()).hasSize(22);
         assertThat(scenario.faults().get(0).linkPeers())
-                .as("the others")
+                .as("all proxies that are not targets")
                 .hasSize(4)
                 .doesNotContainAnyElementsOf(scenario.faults().get(0).targets());
         assertThat(ScenarioReader.parse("s", scenario.toToml(), null)).isEqualTo(scenario);
@@ -176,7 +176,7 @@
                                 .contains("s:2:1: proxies is 0")
                                 .contains("s:3:1: zones")
                                 .contains("s:5:1: there is no fault 'stpo'")
-                                .contains("s:9:1: node-kill befalls nodes alone")
+                                .contains("s:9:1: node-kill can hit nodes only")
                                 .contains("s:10:1: unknown key 'colour'")
                                 .contains("s:13:1: there is no 'p77'")
                                 .contains("longest_ms"));
